--- a/crates/daemon/src/control/budget.rs
+++ b/crates/daemon/src/control/budget.rs
@@ -76,17 +76,17 @@
     /// Grants a piece of measuring work whole, or refuses it. Whoever was refused first is
     /// granted first.
     pub fn ask(&self, purpose: Purpose, cost: Cost) -> bool {
-        lock(&self.budget).ask(self.clock.now(), purpose, cost)
+        lock(&self.budget).try_spend(self.clock.now(), purpose, cost)
     }
 
     /// Grants figures on an answer, or refuses them.
     pub fn ask_figures(&self, cost: Cost) -> bool {
-        lock(&self.figures).ask(self.clock.now(), cost) && self.ask(Purpose::Figures, cost)
+        lock(&self.figures).try_spend(self.clock.now(), cost) && self.ask(Purpose::Figures, cost)
     }
 
     /// Grants a question to the target for its load, or refuses it.
     pub fn ask_load(&self, cost: Cost) -> bool {
-        lock(&self.load_asks).ask(self.clock.now(), cost) && self.ask(Purpose::Load, cost)
+        lock(&self.load_asks).try_spend(self.clock.now(), cost) && self.ask(Purpose::Load, cost)
     }
 
     /// Bytes allowed in a second.
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use lynxcleat_once::Incarnation;
-use lynxcleat_policy::{CallId, Distance, Here};
+use lynxcleat_policy::{CallId, Distance, Location};
 use lynxcleat_store::Platform;
 use lynxcleat_wire::{Frame, Hello, PROTOCOL_VERSION, SharedKey};
 
@@ -154,8 +154,8 @@
     }
 
     /// Where this daemon stands.
-    pub fn here(&self) -> Here<'_> {
-        Here {
+    pub fn here(&self) -> Location<'_> {
+        Location {
             host: &self.config.host,
             place: &self.config.place,
             zone: &self.config.zone,
--- a/crates/daemon/src/directory/neighbours.rs
+++ b/crates/daemon/src/directory/neighbours.rs
@@ -10,7 +10,8 @@
 use std::time::{Duration, Instant};
 
 use lynxcleat_policy::{
-    Candidate, Cost, FAR_NEIGHBOURS, NEAR_NEIGHBOURS, REGION_NEIGHBOURS, TargetId, neighbours,
+    Candidate, Cost, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS,
+    TargetId, neighbours,
 };
 use lynxcleat_store::{HostEntry, HostState};
 use lynxcleat_wire::Frame;
@@ -47,9 +48,9 @@
             unreached.retain(|_, tried| tried.elapsed() < PASSED_OVER);
             let wanted = wanted(&core);
             let groups = [
-                (&wanted.near, NEAR_NEIGHBOURS),
-                (&wanted.far, FAR_NEIGHBOURS),
-                (&wanted.regions, REGION_NEIGHBOURS),
+                (&wanted.near, SAME_ZONE_NEIGHBOURS),
+                (&wanted.far, OTHER_ZONE_NEIGHBOURS),
+                (&wanted.regions, OTHER_REGION_NEIGHBOURS),
             ];
             let mut kept = Vec::new();
             for (members, count) in groups {
@@ -154,8 +155,8 @@
             .collect()
     };
     Wanted {
-        near: entries(order.near),
-        far: entries(order.far),
-        regions: entries(order.regions),
+        near: entries(order.same_zone),
+        far: entries(order.other_zones),
+        regions: entries(order.other_regions),
     }
 }
--- a/crates/daemon/src/directory/operator.rs
+++ b/crates/daemon/src/directory/operator.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_policy::{RolloutOrder, ZoneNews};
+use lynxcleat_policy::{RolloutOrder, ZoneUpdate};
 use lynxcleat_store::StoredRow;
 
 use super::operator_row::{OperatorRow, WantedRollout};
@@ -17,7 +17,7 @@
     let mut orders = Vec::new();
     for row in rows {
         match read(directory, row) {
-            Some(OperatorRow::Evacuation { zone }) => zones.push(ZoneNews {
+            Some(OperatorRow::Evacuation { zone }) => zones.push(ZoneUpdate {
                 zone,
                 version: row.version,
                 evacuated: row.value.is_some(),
--- a/crates/daemon/src/directory/state.rs
+++ b/crates/daemon/src/directory/state.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-use lynxcleat_policy::{Evacuations, Micros};
+use lynxcleat_policy::{EvacuatedZones, Micros};
 use lynxcleat_settings::Tree;
 use lynxcleat_store::{Follower, OwnRow, RowStore};
 use lynxcleat_wire::SharedKey;
@@ -177,7 +177,7 @@
     /// this daemon's clock; the start of the daemon before that.
     pub(super) heard_at: AtomicU64,
     pub(super) neighbours: Neighbours,
-    pub(super) evacuations: Mutex<Evacuations>,
+    pub(super) evacuations: Mutex<EvacuatedZones>,
     /// Ends a wait for changes: there is reason to think that it would bring none.
     pub(super) doubted: watch::Sender<u64>,
     pub(super) wanted: Notify,
--- a/crates/daemon/src/directory/zones.rs
+++ b/crates/daemon/src/directory/zones.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_policy::ZoneNews;
+use lynxcleat_policy::ZoneUpdate;
 use lynxcleat_wire::Frame;
 
 use super::state::DirectoryState;
@@ -17,12 +17,12 @@
 use crate::sync::lock;
 
 /// Takes what rows of the table of the settings say.
-pub(super) fn take_rows(core: &Arc<Core>, directory: &DirectoryState, news: Vec<ZoneNews>) {
+pub(super) fn take_rows(core: &Arc<Core>, directory: &DirectoryState, news: Vec<ZoneUpdate>) {
     take(core, directory, news, None);
 }
 
 /// Takes what another daemon knows.
-pub fn take_zones(core: &Arc<Core>, link: &Link, news: Vec<ZoneNews>) {
+pub fn take_zones(core: &Arc<Core>, link: &Link, news: Vec<ZoneUpdate>) {
     let Some(directory) = &core.directory else {
         return;
     };
@@ -34,17 +34,17 @@
     let Some(directory) = &core.directory else {
         return;
     };
-    let known = lock(&directory.evacuations).all();
+    let known = lock(&directory.evacuations).updates();
     if !known.is_empty() {
         let _ = link.send(Frame::Zones(known));
     }
 }
 
-fn take(core: &Arc<Core>, directory: &DirectoryState, news: Vec<ZoneNews>, from: Option<u64>) {
-    let newer: Vec<ZoneNews> = {
+fn take(core: &Arc<Core>, directory: &DirectoryState, news: Vec<ZoneUpdate>, from: Option<u64>) {
+    let newer: Vec<ZoneUpdate> = {
         let mut evacuations = lock(&directory.evacuations);
         news.into_iter()
-            .filter(|news| evacuations.take(news))
+            .filter(|news| evacuations.apply(news))
             .collect()
     };
     if newer.is_empty() {
@@ -63,7 +63,7 @@
     apply(core, directory);
 }
 
-fn pass_on(core: &Core, newer: &[ZoneNews], from: Option<u64>) {
+fn pass_on(core: &Core, newer: &[ZoneUpdate], from: Option<u64>) {
     let frame = Frame::Zones(newer.to_vec());
     let links = core.links_for_news();
     for link in links.iter().filter(|link| Some(link.id) != from) {
--- a/crates/daemon/src/half/state.rs
+++ b/crates/daemon/src/half/state.rs
@@ -7,8 +7,8 @@
 
 use lynxcleat_once::{Fence, FenceLimits, FenceReply, Operation};
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallTerms, Figures, Micros,
-    NextLook, Origins, Refusal, ReportEffect, TargetReports, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallOrigins, CallTerms,
+    Figures, Micros, NextLook, Refusal, ReportEffect, TargetReports, WayPrices,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame};
@@ -58,7 +58,7 @@
     pub(super) next_call: AtomicU64,
     pub(super) settings: Mutex<Option<Arc<Effective>>>,
     pub(super) reports: Option<Mutex<TargetReports>>,
-    pub(super) origins: Mutex<Origins>,
+    pub(super) origins: Mutex<CallOrigins>,
     /// Slowness in percent as the routers were last told.
     pub(super) told_slowness: AtomicU32,
     /// When a call was offered last.
@@ -196,7 +196,7 @@
     pub(super) fn is_nested(&self, call: &CallFrame) -> bool {
         let mut origins = lock(&self.origins);
         if let Some(service) = &call.caller_service {
-            origins.learn(call.kind, service);
+            origins.record(call.kind, service);
         }
         call.nested && !origins.is_from_callers(call.kind)
     }
--- a/crates/daemon/src/mesh/dial.rs
+++ b/crates/daemon/src/mesh/dial.rs
@@ -89,7 +89,10 @@
     pub(super) fn lost_for_silence(&self, core: &Core, link: &Link) {
         let now = core.clock.now();
         let mesh = link.peer.mesh.clone();
-        lock(&self.silence).entry(mesh).or_default().lost(now);
+        lock(&self.silence)
+            .entry(mesh)
+            .or_default()
+            .record_loss(now);
         core.metrics.links_silent.inc();
         let tried_at = self.tried_at.load(Ordering::Relaxed);
         if now < tried_at + TRY_PAUSE_US {
--- a/crates/daemon/src/mesh/handshake.rs
+++ b/crates/daemon/src/mesh/handshake.rs
@@ -19,7 +19,7 @@
 const HANDSHAKE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time for which sent bytes may stay unacknowledged until the peer is known; then it
-/// follows from [`lynxcleat_policy::SilenceLimit`].
+/// follows from [`lynxcleat_policy::AckTimeout`].
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Bytes of a link's read and write buffers. They grow for larger messages; small
--- a/crates/daemon/src/mesh/links.rs
+++ b/crates/daemon/src/mesh/links.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lynxcleat_policy::{Distance, Micros, SilenceLimit};
+use lynxcleat_policy::{AckTimeout, Distance, Micros};
 use lynxcleat_wire::Frame;
 
 use super::link::Link;
@@ -27,7 +27,7 @@
     pub(super) dialed: Mutex<HashMap<String, Arc<Link>>>,
     pub(super) dialing: Mutex<HashMap<String, Arc<tokio::sync::Mutex<()>>>>,
     /// By address, for peers to which a link was lost for silence.
-    pub(super) silence: Mutex<HashMap<String, SilenceLimit>>,
+    pub(super) silence: Mutex<HashMap<String, AckTimeout>>,
     /// When all links were tried last for want of word from one.
     pub(super) tried_at: AtomicU64,
 }
@@ -85,6 +85,6 @@
     /// How long a link to an address may leave sent bytes unacknowledged.
     pub(super) fn silence_limit(&self, mesh: &str, now: Micros) -> Duration {
         let known = lock(&self.silence).get(mesh).copied();
-        Duration::from_micros(known.unwrap_or_default().limit_us(now))
+        Duration::from_micros(known.unwrap_or_default().timeout_us(now))
     }
 }
--- a/crates/daemon/src/mesh/region_egress.rs
+++ b/crates/daemon/src/mesh/region_egress.rs
@@ -45,7 +45,7 @@
     /// How far away a call of this priority may be sent now.
     pub fn reach(&self, metrics: &Metrics, priority: u32) -> Distance {
         let now = self.clock.now();
-        let reach = lock(&self.budget).reach(now, priority);
+        let reach = lock(&self.budget).max_distance(now, priority);
         if reach < Distance::OtherRegion {
             metrics.region_short.inc();
             self.log_short(now, priority);
--- a/crates/daemon/src/rollout/division.rs
+++ b/crates/daemon/src/rollout/division.rs
@@ -5,8 +5,8 @@
 use std::hash::{Hash, Hasher};
 
 use lynxcleat_policy::{
-    Admits, CANARY_PART, Candidate, Here, Phase, Rollout, RolloutTargets, TargetId, canary_width,
-    subset_with_homes,
+    Admits, CANARY_PART, Candidate, Location, Phase, Rollout, RolloutTargets, TargetId,
+    canary_width, subset_with_homes,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_store::{HostEntry, HostState};
@@ -65,7 +65,7 @@
     /// regions, so that links stand when the calls move.
     pub fn wanted(
         &self,
-        here: Here<'_>,
+        here: Location<'_>,
         candidates: &[Candidate],
         size: usize,
         regions: &[String],
--- a/crates/daemon/src/route/params.rs
+++ b/crates/daemon/src/route/params.rs
@@ -1,6 +1,6 @@
 //! A router's parameters, from the settings in force for its service.
 
-use lynxcleat_policy::{ChooseParams, FurtherParams, Policy, RetryBound, RouterParams, WayPrices};
+use lynxcleat_policy::{ChooseParams, Policy, RetryBound, RetryParams, RouterParams, WayPrices};
 use lynxcleat_settings::Effective;
 
 /// This daemon's part of the bound that all daemons keep together. Half of the reserve
@@ -35,7 +35,7 @@
             prices: way_prices(effective),
         },
         attempt_limit: effective.attempt_limit,
-        further: FurtherParams {
+        further: RetryParams {
             percent: effective.retry_percent,
             bound: retry_bound(effective, hosts),
         },
--- a/crates/daemon/src/route/service.rs
+++ b/crates/daemon/src/route/service.rs
@@ -12,8 +12,8 @@
 use log::Level;
 use lynxcleat_once::Incarnation;
 use lynxcleat_policy::{
-    Action, Candidate, Considered, Cost, Distance, Event, Figures, Here, Homes, Micros, Redial,
-    RedialEvent, Router, TargetId, subset_with_homes,
+    Action, Candidate, Considered, Cost, Distance, Event, Figures, Homes, Location, Micros,
+    ReconnectBackoff, ReconnectEvent, Router, TargetId, subset_with_homes,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_store::{HostEntry, HostState};
@@ -296,7 +296,7 @@
             .map_or_else(String::new, |in_force| homes::own_region(core, in_force));
         let regions =
             in_force.map_or_else(Vec::new, |in_force| in_force.wanted_regions(&self.name));
-        let here = Here {
+        let here = Location {
             region: &own_region,
             ..core.here()
         };
@@ -371,7 +371,7 @@
         let mesh = entry.mesh.clone();
         let host = entry.host.clone();
         let keeper = tokio::spawn(async move {
-            let mut redial = Redial::new(rand::random());
+            let mut redial = ReconnectBackoff::new(rand::random());
             // The address of a host that is gone may be another's by now; one line says so.
             let mut is_told = false;
             loop {
@@ -386,24 +386,24 @@
                         is_told = true;
                         log::log!(level, host = host.as_str(), found; "another host answers at the address");
                         service.link_failed(target);
-                        RedialEvent::Failed
+                        ReconnectEvent::Failed
                     }
                     Ok(link) => {
                         service.link_made(&core, target, &link);
                         link.closed().await;
                         service.link_lost(&core, target);
-                        RedialEvent::Lost
+                        ReconnectEvent::Lost
                     }
                     Err(error) => {
                         log::debug!("{error}");
                         service.link_failed(target);
-                        RedialEvent::Failed
+                        ReconnectEvent::Failed
                     }
                 };
                 drop(service);
                 pause(&mut redial, ended).await;
                 while !is_short(&weak) && !core.budget.ask(Purpose::Redial, REDIAL) {
-                    pause(&mut redial, RedialEvent::Refused).await;
+                    pause(&mut redial, ReconnectEvent::BudgetRefused).await;
                 }
             }
         });
@@ -481,8 +481,8 @@
     linked * SHORT_PART < peers.len()
 }
 
-async fn pause(redial: &mut Redial, event: RedialEvent) {
-    tokio::time::sleep(Duration::from_micros(redial.on(event))).await;
+async fn pause(redial: &mut ReconnectBackoff, event: ReconnectEvent) {
+    tokio::time::sleep(Duration::from_micros(redial.next_delay_us(event))).await;
 }
 
 fn path_us(distance: Distance) -> f64 {
--- a/crates/daemon/src/settings/catch_up.rs
+++ b/crates/daemon/src/settings/catch_up.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use lynxcleat_policy::{NextSource, SettingsSource, SettingsSources};
+use lynxcleat_policy::{NextSource, SettingsSource, SettingsSourceSelector};
 use lynxcleat_settings::{CopyError, CopyStep, Digest, Generation, OfferError, Tree, TreeCopy};
 use lynxcleat_wire::{CodecError, Frame, SettingsAsk, SettingsPart, SettingsReply};
 use rand::RngExt;
@@ -100,7 +100,7 @@
 /// One time of catching up.
 struct CatchUp<'a> {
     core: &'a Arc<Core>,
-    sources: SettingsSources,
+    sources: SettingsSourceSelector,
     copy: TreeCopy,
     begun: Instant,
     parts: usize,
@@ -113,7 +113,7 @@
         let tree = in_force.map(|in_force| in_force.generation.tree.clone());
         CatchUp {
             core,
-            sources: SettingsSources::new(core.clock.now()),
+            sources: SettingsSourceSelector::new(core.clock.now()),
             copy: TreeCopy::of(&tree.unwrap_or_default()),
             begun: Instant::now(),
             parts: 0,
@@ -141,7 +141,7 @@
                 }
                 NextSource::Pause(pause) => tokio::time::sleep(pause).await,
                 NextSource::AskStore => self.ask_store(),
-                NextSource::Nobody => {
+                NextSource::NoPeer => {
                     self.ask_store();
                     settings.unwant(wanted);
                     return;
@@ -175,12 +175,12 @@
             Asked::Busy(after) => {
                 // Those that are told so at once do not come back at once.
                 let after = after.mul_f64(1.0 + draw());
-                self.sources.busy(now, link.id, after);
+                self.sources.mark_busy(now, link.id, after);
             }
             Asked::UnknownBase => self.copy.base_is_unknown(),
             Asked::Failed(outcome) => {
                 log::info!(peer = link.peer.host.as_str(), outcome; "settings asked of a peer");
-                self.sources.failed(now, link.id);
+                self.sources.mark_failed(now, link.id);
             }
         }
     }
@@ -190,10 +190,10 @@
         self.bytes += part.bytes();
         let now = self.core.clock.now();
         match self.take_part(link, part) {
-            Ok(()) => self.sources.progressed(now),
+            Ok(()) => self.sources.record_progress(now),
             Err(error) => {
                 log::error!(peer = link.peer.host.as_str(), generation = part.generation; "settings refused: {error}");
-                self.sources.failed(now, link.id);
+                self.sources.mark_failed(now, link.id);
                 self.copy = TreeCopy::of(&Tree::default());
             }
         }
--- a/crates/daemon/src/settings/serve.rs
+++ b/crates/daemon/src/settings/serve.rs
@@ -35,7 +35,7 @@
     ask: &SettingsAsk,
 ) -> Result<SettingsReply, CodecError> {
     let now = core.clock.now();
-    let wait = core.settings.copy_rate().wait(now);
+    let wait = core.settings.copy_rate().delay(now);
     if let Some(after) = wait {
         let after_ms = after.as_millis() as u64;
         return Ok(SettingsReply::Busy { after_ms });
@@ -47,7 +47,7 @@
     let is_last = part.next.is_none();
     let packed = SettingsPart::pack(generation, &in_force.entries_digest, &part)?;
     let bytes = packed.bytes();
-    core.settings.copy_rate().sent(now, bytes);
+    core.settings.copy_rate().record_sent(now, bytes);
     core.metrics.settings_bytes_sent.inc_by(bytes as u64);
     if is_last {
         core.metrics.settings_copies_sent.inc();
--- a/crates/daemon/src/settings/state.rs
+++ b/crates/daemon/src/settings/state.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 
-use lynxcleat_policy::CopyRate;
+use lynxcleat_policy::SettingsPacer;
 use lynxcleat_settings::{Effective, Generation, KeyTable, OfferError, RouteTable, Tree};
 use tokio::sync::watch;
 
@@ -85,7 +85,7 @@
     /// Newest generation that a peer told of and that may still be had from one.
     wanted: AtomicU64,
     catching_up: AtomicBool,
-    copy_rate: Mutex<CopyRate>,
+    copy_rate: Mutex<SettingsPacer>,
     /// Trees that were in force, the newest last, by the digests of their entries.
     earlier: Mutex<VecDeque<(String, Tree)>>,
 }
@@ -135,7 +135,7 @@
     }
 
     /// What may be sent to peers that ask for settings.
-    pub fn copy_rate(&self) -> MutexGuard<'_, CopyRate> {
+    pub fn copy_rate(&self) -> MutexGuard<'_, SettingsPacer> {
         lock(&self.copy_rate)
     }
 
--- a/crates/load/src/rounds.rs
+++ b/crates/load/src/rounds.rs
@@ -228,7 +228,7 @@
                 prices: WayPrices::default(),
             },
             attempt_limit: 3,
-            further: lynxcleat_policy::FurtherParams {
+            further: lynxcleat_policy::RetryParams {
                 percent: retry_percent,
                 bound: None,
             },
--- a/crates/load/src/spread.rs
+++ b/crates/load/src/spread.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lynxcleat_policy::{
-    Candidate, FAR_NEIGHBOURS, Here, NEAR_NEIGHBOURS, TargetId, neighbours, rank,
+    Candidate, Location, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS, TargetId, neighbours, rank,
 };
 use lynxcleat_store::{Duty, Missing, RowCopy, RowDelta, RowsAt, Standing, StoredRow, duty};
 use rand::rngs::SmallRng;
@@ -289,15 +289,15 @@
 
 fn link(members: &mut [Member], left: &[Candidate]) {
     for (from, one) in left.iter().enumerate() {
-        let here = Here {
+        let here = Location {
             host: &one.host,
             place: &one.place,
             zone: &one.zone,
             region: &one.region,
         };
         let order = neighbours(here, left);
-        let near = order.near.iter().take(NEAR_NEIGHBOURS);
-        for target in near.chain(order.far.iter().take(FAR_NEIGHBOURS)) {
+        let near = order.same_zone.iter().take(SAME_ZONE_NEIGHBOURS);
+        for target in near.chain(order.other_zones.iter().take(OTHER_ZONE_NEIGHBOURS)) {
             let to = left.iter().position(|other| other.target == *target);
             let to = to.expect("a neighbour is one of those left");
             for (a, b) in [(from, to), (to, from)] {
--- a/crates/once/tests/world.rs
+++ b/crates/once/tests/world.rs
@@ -160,7 +160,7 @@
                 prices: WayPrices::default(),
             },
             attempt_limit: 3,
-            further: lynxcleat_policy::FurtherParams {
+            further: lynxcleat_policy::RetryParams {
                 percent: 100,
                 bound: None,
             },
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -28,7 +28,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 3,
-        further: lynxcleat_policy::FurtherParams {
+        further: lynxcleat_policy::RetryParams {
             percent: 10,
             bound: None,
         },
@@ -127,7 +127,7 @@
         let mut now = 0;
         bencher.iter(|| {
             now += 4_000;
-            black_box(budget.ask(now, Cost::message(24, 2)))
+            black_box(budget.try_spend(now, Cost::message(24, 2)))
         });
     });
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,10 +1,9 @@
-//! The budget of measuring. It is asked before every probe, report, poll and
-//! heartbeat, and what it refuses is not sent.
+//! The measurement budget: a sliding-window rate limit for probes, reports, polls and
+//! heartbeats. Each must be granted by the budget before it is sent.
 //!
-//! The promise is "never exceeds", so the budget keeps the grants of the last
-//! second and not a token bucket: a bucket of rate r with a burst lets up to
-//! twice r through in some second. The price is one entry a grant, bounded by
-//! the limit of messages.
+//! The limits must not be exceeded in any second, so the budget keeps a log of the grants of
+//! the last second. A token bucket of rate r with a burst would allow up to twice r in some
+//! second. The log holds one entry per grant and is bounded by the limit on messages.
 
 use std::collections::VecDeque;
 use std::ops::{Add, Sub};
@@ -13,7 +12,7 @@
 
 const WINDOW_US: Micros = 1_000_000;
 
-/// What one piece of measuring costs.
+/// Cost of one measurement operation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Cost {
     /// Messages sent or received.
@@ -25,7 +24,7 @@
 }
 
 impl Cost {
-    /// One message of `bytes`, with the processor time it is charged for.
+    /// Cost of one message of `bytes` and `cpu_us` of processor time.
     pub fn message(bytes: usize, cpu_us: u64) -> Cost {
         Cost {
             messages: 1,
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Whether it exceeds none of the limits.
+    /// Whether this cost exceeds none of the limits.
     pub fn is_within(self, limits: Limits) -> bool {
         self.messages <= limits.messages
             && self.bytes <= limits.bytes
@@ -66,10 +65,10 @@
     }
 }
 
-/// What may be spent in any one second.
+/// Maximum cost granted within any one second.
 pub type Limits = Cost;
 
-/// A budget of measuring work over any window of one second.
+/// Limits the cost of measurement over every window of one second.
 #[derive(Clone, Debug)]
 pub struct Budget {
     limits: Limits,
@@ -80,7 +79,7 @@
 }
 
 impl Budget {
-    /// A budget with nothing spent.
+    /// Creates a budget from which nothing was spent.
     pub fn new(limits: Limits) -> Self {
         Budget {
             limits,
@@ -91,23 +90,23 @@
         }
     }
 
-    /// Changes the limits. What was granted in the last second still counts.
+    /// Changes the limits. Costs granted in the last second still count.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Grants `cost` whole, or refuses it whole. A time before the last grant
-    /// counts as the time of that grant.
-    pub fn ask(&mut self, now: Micros, cost: Cost) -> bool {
-        self.ask_leaving(now, cost, Cost::default())
+    /// Grants or refuses `cost` as a whole. A time before the last grant counts as the time of
+    /// that grant.
+    pub fn try_spend(&mut self, now: Micros, cost: Cost) -> bool {
+        self.try_spend_reserving(now, cost, Cost::default())
     }
 
-    /// Grants `cost` only if `room` could still be granted after it.
-    pub fn ask_leaving(&mut self, now: Micros, cost: Cost, room: Cost) -> bool {
+    /// Grants `cost` only if `reserved` could still be granted after it.
+    pub fn try_spend_reserving(&mut self, now: Micros, cost: Cost, reserved: Cost) -> bool {
         let now = self.grants.back().map_or(now, |(last, _)| now.max(*last));
-        self.forget(now);
+        self.expire(now);
         let next = self.in_window + cost;
-        if !(next + room).is_within(self.limits) {
+        if !(next + reserved).is_within(self.limits) {
             self.refused += 1;
             return false;
         }
@@ -117,12 +116,12 @@
         true
     }
 
-    /// All that was granted since the budget was made.
+    /// Total cost granted since the budget was created.
     pub fn spent(&self) -> Cost {
         self.spent
     }
 
-    /// Asks refused since the budget was made.
+    /// Number of requests refused since the budget was created.
     pub fn refused(&self) -> u64 {
         self.refused
     }
@@ -132,7 +131,8 @@
         self.limits
     }
 
-    fn forget(&mut self, now: Micros) {
+    /// Removes grants that have left the window.
+    fn expire(&mut self, now: Micros) {
         while let Some((at, cost)) = self.grants.front().copied() {
             if now - at < WINDOW_US {
                 return;
--- a/crates/policy/src/distance.rs
+++ b/crates/policy/src/distance.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::subset::{Candidate, Here};
+use crate::subset::{Candidate, Location};
 
 /// How far it is from one host to another; the nearest first.
 #[derive(
@@ -38,7 +38,7 @@
     }
 }
 
-impl Here<'_> {
+impl Location<'_> {
     /// How far a target is from here.
     pub fn distance(&self, candidate: &Candidate) -> Distance {
         self.distance_to(&candidate.zone, &candidate.place, &candidate.region)
--- a/crates/policy/src/evacuation.rs
+++ b/crates/policy/src/evacuation.rs
@@ -1,62 +1,64 @@
-//! Which availability zones are evacuated: their targets are given no new calls.
+//! Tracks which availability zones are evacuated. Targets in an evacuated zone get no new
+//! calls.
 //!
-//! News come from the store and from other daemons, late, twice and in any order. Each
-//! carries the version that the store gave to the change, and for each zone the newest
-//! version counts; so daemons that heard the same news believe the same, whatever the order.
+//! Updates come from the store and from other daemons; they may be late, repeated and out of
+//! order. Each carries the version that the store gave to the change, and for each zone the
+//! highest version wins, so daemons that received the same updates in any order agree.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Zones that are kept at most; news of further ones are refused.
-const ZONES_LIMIT: usize = 256;
+/// Maximum number of zones tracked. Updates of further zones are rejected.
+const MAX_ZONES: usize = 256;
 
 /// A change of one zone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ZoneNews {
-    /// The zone.
+pub struct ZoneUpdate {
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: String,
     /// Version that the store gave to the change.
     #[serde(rename = "n")]
     pub version: u64,
-    /// Whether the zone is evacuated since then.
+    /// Whether the zone is evacuated as of this version.
     #[serde(rename = "e")]
     pub evacuated: bool,
 }
 
-/// What is known of all zones.
+/// The latest update of each zone.
 #[derive(Clone, Debug, Default)]
-pub struct Evacuations {
-    zones: BTreeMap<String, ZoneNews>,
+pub struct EvacuatedZones {
+    zones: BTreeMap<String, ZoneUpdate>,
 }
 
-impl Evacuations {
-    /// Takes news. Returns whether they are newer than what was known of the zone.
-    pub fn take(&mut self, news: &ZoneNews) -> bool {
-        let known = self.zones.get(&news.zone);
-        let is_newer = known.is_none_or(|known| known.version < news.version);
-        let has_room = known.is_some() || self.zones.len() < ZONES_LIMIT;
+impl EvacuatedZones {
+    /// Applies an update. Returns whether it was newer than the known state of its zone and
+    /// was stored.
+    pub fn apply(&mut self, update: &ZoneUpdate) -> bool {
+        let known = self.zones.get(&update.zone);
+        let is_newer = known.is_none_or(|known| known.version < update.version);
+        let has_room = known.is_some() || self.zones.len() < MAX_ZONES;
         if !is_newer || !has_room {
             return false;
         }
-        self.zones.insert(news.zone.clone(), news.clone());
+        self.zones.insert(update.zone.clone(), update.clone());
         true
     }
 
     /// Whether a zone is evacuated.
     pub fn is_evacuated(&self, zone: &str) -> bool {
-        self.zones.get(zone).is_some_and(|news| news.evacuated)
+        self.zones.get(zone).is_some_and(|update| update.evacuated)
     }
 
-    /// The newest news of every zone, for other daemons.
-    pub fn all(&self) -> Vec<ZoneNews> {
+    /// The latest update of every zone, to send to other daemons.
+    pub fn updates(&self) -> Vec<ZoneUpdate> {
         self.zones.values().cloned().collect()
     }
 
-    /// Names of the zones that are evacuated.
+    /// Names of the evacuated zones.
     pub fn evacuated(&self) -> Vec<String> {
-        let evacuated = self.zones.values().filter(|news| news.evacuated);
-        evacuated.map(|news| news.zone.clone()).collect()
+        let evacuated = self.zones.values().filter(|update| update.evacuated);
+        evacuated.map(|update| update.zone.clone()).collect()
     }
 }
--- a/crates/policy/src/fair_budget.rs
+++ b/crates/policy/src/fair_budget.rs
@@ -1,36 +1,37 @@
-//! A budget of measuring that serves whoever was refused first.
+//! A measurement budget that serves refused requesters in order of refusal.
 //!
-//! Small pieces of work come often and always find some room; a large one that comes
-//! seldom never would. So who is refused gets a place in a queue, and what others ask for
-//! is granted only if all that stand before them could still be granted after it.
+//! Small, frequent requests nearly always find some of the budget free; a large, infrequent
+//! one never would. A refused requester is therefore queued, and a request by another one is
+//! granted only if the costs of all requesters queued before it could still be granted after
+//! it.
 
 use std::collections::VecDeque;
 
 use crate::budget::{Budget, Cost, Limits};
 use crate::ids::Micros;
 
-/// Time for which a place is kept without being asked for again: more than twice the
-/// pause after which the polls come back (200 ms), so that who no longer wants anything
-/// holds up nobody for long.
-const PLACE_KEPT_US: Micros = 500_000;
+/// Time for which a requester stays in the queue without repeating its request: more than
+/// twice the interval at which refused polls retry (200 ms). A requester that gave up thus
+/// blocks the others only briefly.
+const QUEUE_TIMEOUT_US: Micros = 500_000;
 
-/// Somebody who was refused.
+/// A requester that was refused.
 #[derive(Clone, Copy, Debug)]
-struct Waiting<W> {
-    who: W,
+struct Waiting<R> {
+    requester: R,
     cost: Cost,
-    asked_at: Micros,
+    requested_at: Micros,
 }
 
-/// A budget with a queue of those that it refused; `W` names who asks.
+/// A budget with a queue of the requesters that it refused. `R` identifies a requester.
 #[derive(Clone, Debug)]
-pub struct FairBudget<W> {
+pub struct FairBudget<R> {
     budget: Budget,
-    queue: VecDeque<Waiting<W>>,
+    queue: VecDeque<Waiting<R>>,
 }
 
-impl<W: Copy + Eq> FairBudget<W> {
-    /// A budget with nothing spent and nobody waiting.
+impl<R: Copy + Eq> FairBudget<R> {
+    /// Creates a budget from which nothing was spent, with an empty queue.
     pub fn new(limits: Limits) -> Self {
         FairBudget {
             budget: Budget::new(limits),
@@ -38,45 +39,52 @@
         }
     }
 
-    /// The budget, for what was spent and refused.
+    /// The underlying budget, for its counters and limits.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Changes the limits. What was granted in the last second still counts.
+    /// Changes the limits. Costs granted in the last second still count.
     pub fn set_limits(&mut self, limits: Limits) {
         self.budget.set_limits(limits);
     }
 
-    /// Grants `cost` whole, or refuses it whole and keeps a place for `who`.
-    pub fn ask(&mut self, now: Micros, who: W, cost: Cost) -> bool {
+    /// Grants `cost` as a whole, or refuses it as a whole and queues `requester`.
+    pub fn try_spend(&mut self, now: Micros, requester: R, cost: Cost) -> bool {
         self.queue
-            .retain(|waiting| now.saturating_sub(waiting.asked_at) < PLACE_KEPT_US);
-        let before = self.queue.iter().take_while(|waiting| waiting.who != who);
-        let room = before.fold(Cost::default(), |sum, waiting| sum + waiting.cost);
-        let granted = self.budget.ask_leaving(now, cost, room);
+            .retain(|waiting| now.saturating_sub(waiting.requested_at) < QUEUE_TIMEOUT_US);
+        let before = self
+            .queue
+            .iter()
+            .take_while(|waiting| waiting.requester != requester);
+        let reserved = before.fold(Cost::default(), |sum, waiting| sum + waiting.cost);
+        let granted = self.budget.try_spend_reserving(now, cost, reserved);
         match granted {
-            true => self.queue.retain(|waiting| waiting.who != who),
-            false => self.keep_place(now, who, cost),
+            true => self.queue.retain(|waiting| waiting.requester != requester),
+            false => self.enqueue(now, requester, cost),
         }
         granted
     }
 
-    /// What exceeds the limits by itself can never be granted and gets no place.
-    fn keep_place(&mut self, now: Micros, who: W, cost: Cost) {
+    /// Queues a requester, or updates its entry. A cost that exceeds the limits by itself can
+    /// never be granted and is not queued.
+    fn enqueue(&mut self, now: Micros, requester: R, cost: Cost) {
         if !cost.is_within(self.budget.limits()) {
             return;
         }
-        let place = self.queue.iter_mut().find(|waiting| waiting.who == who);
-        match place {
-            Some(place) => {
-                place.cost = cost;
-                place.asked_at = now;
+        let queued = self
+            .queue
+            .iter_mut()
+            .find(|waiting| waiting.requester == requester);
+        match queued {
+            Some(queued) => {
+                queued.cost = cost;
+                queued.requested_at = now;
             }
             None => self.queue.push_back(Waiting {
-                who,
+                requester,
                 cost,
-                asked_at: now,
+                requested_at: now,
             }),
         }
     }
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -1,8 +1,8 @@
 //! Home regions: the only regions in which a call may be served.
 //!
-//! The router passes targets outside over as if the call had been offered to them
-//! already, so that no choice, retry or further offer can reach one. A call without
-//! home regions is not looked at.
+//! The router excludes targets outside a call's home regions in the same way as targets that
+//! were already tried, so that no choice, retry or reroute can reach one. A call without home
+//! regions is not filtered.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{CallId, TargetId};
-use crate::subset::{Candidate, Here, subset};
+use crate::subset::{Candidate, Location, subset};
 
-/// Part of the targets that a daemon keeps links to, as a divisor, that it keeps links to
-/// in each region that is some call's home: calls that may go nowhere else need more than
-/// one target to choose among, and half of a subset is enough for that.
-const HOME_PART: usize = 2;
+/// Divisor of the subset size that gives the number of targets linked in each home region.
+/// Calls that may go nowhere else need more than one target to choose among, and half of a
+/// subset is enough for that.
+const HOME_REGION_DIVISOR: usize = 2;
 
 /// Where a call may be served.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -25,12 +25,12 @@
     /// In any region.
     #[default]
     Anywhere,
-    /// In these regions only; nowhere where there are none.
+    /// In these regions only. An empty list allows no region.
     Only(Arc<[String]>),
 }
 
 impl Homes {
-    /// From a list in the settings, where an empty one allows every region.
+    /// Converts a list from the settings, where an empty list allows every region.
     pub fn from_settings(names: &[String]) -> Homes {
         match names.is_empty() {
             true => Homes::Anywhere,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The regions that both allow.
+    /// The regions that both `self` and `other` allow.
     pub fn intersection(&self, other: &Homes) -> Homes {
         match (self, other) {
             (Homes::Anywhere, other) => other.clone(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a call may be served in a region. One without a name is in no list.
+    /// Whether a call may be served in `region`. A region without a name is in no list.
     pub fn allows(&self, region: &str) -> bool {
         match self {
             Homes::Anywhere => true,
@@ -63,7 +63,7 @@
         matches!(self, Homes::Anywhere)
     }
 
-    /// The regions named.
+    /// Names of the listed regions; empty for [`Homes::Anywhere`].
     pub fn names(&self) -> &[String] {
         match self {
             Homes::Anywhere => &[],
@@ -73,8 +73,9 @@
 }
 
 impl From<Vec<String>> for Homes {
-    /// From a list in a message, where an empty one allows no region: a call that cannot be
-    /// understood must not leave its regions. One that may go anywhere is sent without a list.
+    /// Converts a list from a message, where an empty list allows no region: a call whose list
+    /// cannot be interpreted must not leave its home regions. A call that may be served
+    /// anywhere is sent without a list.
     fn from(names: Vec<String>) -> Self {
         Homes::Only(names.into())
     }
@@ -86,32 +87,35 @@
     }
 }
 
-/// The calls of a router that have home regions, and the regions of its targets.
+/// Filters a router's targets by the home regions of its calls.
 #[derive(Debug, Default)]
-pub(crate) struct BoundCalls {
+pub(crate) struct HomeRegionFilter {
+    /// Region of each target.
     regions: HashMap<TargetId, String>,
+    /// Home regions of the calls that have any.
     calls: HashMap<CallId, Homes>,
 }
 
-impl BoundCalls {
+impl HomeRegionFilter {
     pub(crate) fn set_regions(&mut self, regions: Vec<(TargetId, String)>) {
         self.regions = regions.into_iter().collect();
     }
 
-    pub(crate) fn bind(&mut self, call: CallId, homes: Homes) {
+    pub(crate) fn set_homes(&mut self, call: CallId, homes: Homes) {
         match homes.is_anywhere() {
             true => self.calls.remove(&call),
             false => self.calls.insert(call, homes),
         };
     }
 
-    /// The call is over. Returns whether it had home regions.
-    pub(crate) fn forget(&mut self, call: CallId) -> bool {
+    /// Removes a finished call. Returns whether it had home regions.
+    pub(crate) fn remove(&mut self, call: CallId) -> bool {
         self.calls.remove(&call).is_some()
     }
 
-    /// The targets that a call must not be offered to: those tried, and those outside.
-    pub(crate) fn passed_over<'a>(
+    /// Targets that a call must not be offered to: those in `tried`, and those outside its
+    /// home regions.
+    pub(crate) fn excluded<'a>(
         &self,
         call: CallId,
         tried: &'a [TargetId],
@@ -120,13 +124,13 @@
         let Some(homes) = self.calls.get(&call) else {
             return Cow::Borrowed(tried);
         };
-        let mut passed_over = self.outside(homes, targets);
-        passed_over.extend_from_slice(tried);
-        Cow::Owned(passed_over)
+        let mut excluded = self.targets_outside(homes, targets);
+        excluded.extend_from_slice(tried);
+        Cow::Owned(excluded)
     }
 
-    /// The targets outside; one whose region is not known is.
-    pub(crate) fn outside(&self, homes: &Homes, targets: &[TargetId]) -> Vec<TargetId> {
+    /// Targets outside `homes`. A target whose region is unknown counts as outside.
+    pub(crate) fn targets_outside(&self, homes: &Homes, targets: &[TargetId]) -> Vec<TargetId> {
         let is_inside = |target: &TargetId| {
             let region = self.regions.get(target);
             region.is_some_and(|region| homes.allows(region))
@@ -136,23 +140,23 @@
     }
 }
 
-/// The targets that `here` keeps links to where calls have home regions: the nearest
-/// `size`, and besides the nearest of each of `regions`.
+/// Returns the targets that a router at `here` keeps links to if calls have home regions: the
+/// [`subset`] of `size`, followed by the nearest targets of each home region in `regions`.
 pub fn subset_with_homes(
-    here: Here<'_>,
+    here: Location<'_>,
     candidates: &[Candidate],
     size: usize,
     regions: &[String],
 ) -> Vec<TargetId> {
-    let mut wanted = subset(here, candidates, size);
+    let mut selected = subset(here, candidates, size);
     for region in regions {
         let inside = candidates.iter().filter(|one| one.region == *region);
         let inside: Vec<Candidate> = inside.cloned().collect();
-        for target in subset(here, &inside, size.div_ceil(HOME_PART)) {
-            if !wanted.contains(&target) {
-                wanted.push(target);
+        for target in subset(here, &inside, size.div_ceil(HOME_REGION_DIVISOR)) {
+            if !selected.contains(&target) {
+                selected.push(target);
             }
         }
     }
-    wanted
+    selected
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,16 +6,17 @@
 //! feed these machines from sockets; a bench or a fuzzer can feed the very same
 //! code from virtual time.
 
+mod ack_timeout;
 mod admit;
 mod admit_event;
 mod begin;
 mod body_meter;
 mod body_window;
 mod budget;
+mod call_origins;
 mod chance;
 mod chooser;
 mod cold;
-mod copy_rate;
 mod distance;
 mod elsewhere;
 mod evacuation;
@@ -28,39 +29,39 @@
 mod ids;
 mod limit;
 mod neighbours;
-mod origins;
 mod pipeline;
 mod policy_name;
 mod quarantine;
 mod quota;
-mod redial;
+mod reconnect;
 mod region_budget;
 mod report;
 mod retry;
 mod rollout;
 mod router;
 mod sample;
+mod settings_pacer;
 mod settings_sources;
-mod silence;
 mod slowness;
 mod spell;
 mod subset;
 mod target;
 mod work;
 
+pub use ack_timeout::AckTimeout;
 pub use admit::Admit;
 pub use admit_event::{AdmitAction, AdmitEvent, AdmitLimits, NextLook};
 pub use begin::{Begin, Choice, Outlook};
 pub use body_meter::BodyMeter;
 pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
+pub use call_origins::CallOrigins;
 pub use chance::Need;
 pub use chooser::{ChooseParams, Chooser, Considered};
 pub use cold::{ColdBound, FirstReport};
-pub use copy_rate::CopyRate;
 pub use distance::{Distance, WayPrices};
 pub use elsewhere::Elsewhere;
-pub use evacuation::{Evacuations, ZoneNews};
+pub use evacuation::{EvacuatedZones, ZoneUpdate};
 pub use event::{
     Action, Event, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
 };
@@ -72,9 +73,9 @@
 pub use ids::{AttemptId, CallId, EndId, Micros, TargetId};
 pub use limit::LearnedLimit;
 pub use neighbours::{
-    FAR_NEIGHBOURS, NEAR_NEIGHBOURS, NeighbourOrder, REGION_NEIGHBOURS, neighbours, rank,
+    NeighbourOrder, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS,
+    neighbours, rank,
 };
-pub use origins::Origins;
 pub use pipeline::{Arrival, CallNumber, NextOut, Pipeline, PipelineLimits};
 pub use policy_name::{Policy, UnknownPolicy};
 pub use quarantine::{
@@ -84,10 +85,10 @@
     BucketOwners, LeaseStep, QuotaBucket, QuotaGrant, QuotaLease, QuotaLimit, TokenRequest,
     owner_count,
 };
-pub use redial::{Redial, RedialEvent};
+pub use reconnect::{ReconnectBackoff, ReconnectEvent};
 pub use region_budget::RegionBudget;
 pub use report::{InPlace, ReportEffect, ReportedState, TargetReport, TargetReports};
-pub use retry::{FurtherAttempts, FurtherParams, RetryBound, RetryBudget, RetryWindow};
+pub use retry::{RetryAllowance, RetryBound, RetryBudget, RetryParams, RetryWindow};
 pub use rollout::{
     Admits, CANARY_PART, Cause, Exposure, Fault, HalfEvidence, Judge, Members, Outcome, Phase,
     Readiness, Rollout, RolloutNews, RolloutOrder, RolloutTargets, Rollouts, Step, Taken, Tally,
@@ -95,10 +96,10 @@
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
-pub use settings_sources::{NextSource, SettingsSource, SettingsSources};
-pub use silence::SilenceLimit;
+pub use settings_pacer::SettingsPacer;
+pub use settings_sources::{NextSource, SettingsSource, SettingsSourceSelector};
 pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
 pub use spell::Spells;
-pub use subset::{Candidate, Here, OTHER_REGIONS_MIN, subset};
+pub use subset::{Candidate, Location, MIN_OTHER_REGION_TARGETS, subset};
 pub use target::{Health, TargetState, Usual};
 pub use work::{CallKind, Work, Works};
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,26 +1,29 @@
-//! The retry budget: further attempts are a share of first attempts, so that
-//! retries cannot multiply load however many targets refuse.
+//! Limits retries to a percentage of first attempts, so that they cannot multiply load however
+//! many targets refuse.
 //!
-//! A small reserve lets a quiet service retry at all. The reserve is what the
-//! share may be exceeded by, once.
+//! A small reserve lets a service with little traffic retry at all. The percentage may be
+//! exceeded by the reserve once.
 
 use std::collections::VecDeque;
 
 use crate::ids::Micros;
 
+/// Cost of one retry, in units of the balance.
 const TOKEN: u64 = 100;
+/// Retries that may be saved up.
 const RESERVE_TOKENS: u64 = 10;
 
-/// A budget of further attempts.
+/// A token bucket of retries that is refilled by first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u64,
-    /// Hundredths of one attempt.
+    /// Available retries, in hundredths of one.
     balance: u64,
 }
 
 impl RetryBudget {
-    /// A budget of `percent` further attempts for every hundred first attempts.
+    /// Creates a budget of `percent` retries for every hundred first attempts, with the whole
+    /// reserve.
     pub fn new(percent: u32) -> Self {
         let mut budget = RetryBudget {
             percent: 0,
@@ -31,7 +34,7 @@
         budget
     }
 
-    /// Changes the share; the balance stays within the new reserve.
+    /// Changes the percentage. The balance is capped at the new reserve.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = u64::from(percent);
         self.balance = self.balance.min(self.cap());
@@ -42,7 +45,7 @@
         self.balance = (self.balance + self.percent).min(self.cap());
     }
 
-    /// Takes one further attempt from the budget, if there is one.
+    /// Takes one retry from the budget if one is available.
     pub fn take(&mut self) -> bool {
         if self.balance < TOKEN {
             return false;
@@ -60,28 +63,28 @@
     }
 }
 
-/// A bound on further attempts within any window of time, which many routers keep
-/// together without asking each other: each keeps to the share for its own calls and to
-/// its part of the reserve, so that the sum keeps to the bound.
+/// A bound on retries within every window of time that many routers respect together without
+/// coordination: each respects the percentage for its own calls and its part of the reserve,
+/// so that their sum respects the bound.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetryBound {
     /// Length of the window.
     pub window_us: Micros,
-    /// Further attempts beyond the share that this router may send in a window.
+    /// Retries beyond the percentage that this router may send in a window.
     pub reserve: u32,
 }
 
-/// Parts into which a window is cut: its edge moves by one of them at a time.
+/// Number of slices in a window. The window advances by one slice at a time.
 const SLICES: u64 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
-    first: u64,
-    further: u64,
+    first_attempts: u64,
+    retries: u64,
 }
 
-/// What was sent in the last window.
+/// Limits retries by the first attempts and retries counted in the last window.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     bound: RetryBound,
@@ -90,7 +93,7 @@
 }
 
 impl RetryWindow {
-    /// A window in which nothing was sent.
+    /// Creates a window without any attempts.
     pub fn new(bound: RetryBound, percent: u32) -> Self {
         RetryWindow {
             bound,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Changes the bound; what was sent still counts.
+    /// Changes the bound. Attempts already counted still count.
     pub fn set(&mut self, bound: RetryBound, percent: u32) {
         self.bound = bound;
         self.percent = percent;
@@ -107,32 +110,33 @@
 
     /// Counts a first attempt.
     pub fn first_attempt(&mut self, now: Micros) {
-        self.slice(now).first += 1;
+        self.slice(now).first_attempts += 1;
     }
 
-    /// Takes one further attempt, if the bound allows it. Calls of the running slice do
-    /// not add to the share yet, and further attempts count for one slice longer than
-    /// the window, so that the bound holds wherever a window begins.
+    /// Takes one retry if the bound allows it. First attempts of the current slice do not count
+    /// towards the percentage yet, and retries count for one slice longer than the window, so
+    /// that the bound holds wherever a window begins.
     pub fn take(&mut self, now: Micros) -> bool {
-        let running = self.slice(now).number;
-        let first: u64 = self.ended(running).map(|slice| slice.first).sum();
-        let further: u64 = self.slices.iter().map(|slice| slice.further).sum();
-        let share = first * u64::from(self.percent) / 100;
-        if further >= share + u64::from(self.bound.reserve) {
+        let current = self.slice(now).number;
+        let completed = self.completed_slices(current);
+        let first_attempts: u64 = completed.map(|slice| slice.first_attempts).sum();
+        let retries: u64 = self.slices.iter().map(|slice| slice.retries).sum();
+        let share = first_attempts * u64::from(self.percent) / 100;
+        if retries >= share + u64::from(self.bound.reserve) {
             return false;
         }
-        self.slice(now).further += 1;
+        self.slice(now).retries += 1;
         true
     }
 
-    fn ended(&self, running: u64) -> impl Iterator<Item = &Slice> {
+    /// The slices of the window before the current one.
+    fn completed_slices(&self, current: u64) -> impl Iterator<Item = &Slice> {
         let in_window =
-            move |slice: &&Slice| slice.number < running && slice.number + SLICES > running;
+            move |slice: &&Slice| slice.number < current && slice.number + SLICES > current;
         self.slices.iter().filter(in_window)
     }
 
-    /// The running slice. Those that are older than the window and one slice are
-    /// forgotten.
+    /// Returns the current slice, and drops those older than the window by more than one slice.
     fn slice(&mut self, now: Micros) -> &mut Slice {
         let number = now * SLICES / self.bound.window_us.max(1);
         while self
@@ -150,59 +154,60 @@
         }
         self.slices
             .back_mut()
-            .expect("one was pushed where there was none")
+            .expect("the current slice was pushed if it was missing")
     }
 }
 
-/// How many further attempts a router may send.
+/// Limits on the retries of a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FurtherParams {
-    /// As a share of first ones.
+pub struct RetryParams {
+    /// Retries in percent of first attempts.
     pub percent: u32,
-    /// Bound in any window, where there is one; else a bucket of tokens.
+    /// Bound within every window; if `None`, a token bucket is used.
     pub bound: Option<RetryBound>,
 }
 
-/// A router's allowance of further attempts, of either kind.
+/// Limiter for the retries of a router, of either kind.
 #[derive(Clone, Debug)]
-pub enum FurtherAttempts {
-    /// A bucket of tokens.
+pub enum RetryAllowance {
+    /// Token bucket.
     Tokens(RetryBudget),
-    /// A window.
+    /// Sliding window.
     Window(RetryWindow),
 }
 
-impl FurtherAttempts {
-    /// An allowance of which nothing was taken.
-    pub fn new(params: FurtherParams) -> Self {
+impl RetryAllowance {
+    /// Creates an allowance of which nothing was taken.
+    pub fn new(params: RetryParams) -> Self {
         match params.bound {
-            Some(bound) => FurtherAttempts::Window(RetryWindow::new(bound, params.percent)),
-            None => FurtherAttempts::Tokens(RetryBudget::new(params.percent)),
+            Some(bound) => RetryAllowance::Window(RetryWindow::new(bound, params.percent)),
+            None => RetryAllowance::Tokens(RetryBudget::new(params.percent)),
         }
     }
 
-    /// Changes the allowance; what was taken still counts where the kind stays.
-    pub fn set(&mut self, params: FurtherParams) {
+    /// Changes the limits. Retries already taken still count if the kind of limiter stays the
+    /// same.
+    pub fn set(&mut self, params: RetryParams) {
         match (&mut *self, params.bound) {
-            (FurtherAttempts::Tokens(budget), None) => budget.set_percent(params.percent),
-            (FurtherAttempts::Window(window), Some(bound)) => window.set(bound, params.percent),
-            _ => *self = FurtherAttempts::new(params),
+            (RetryAllowance::Tokens(budget), None) => budget.set_percent(params.percent),
+            (RetryAllowance::Window(window), Some(bound)) => window.set(bound, params.percent),
+            _ => *self = RetryAllowance::new(params),
         }
     }
 
     /// Counts a first attempt.
     pub fn first_attempt(&mut self, now: Micros) {
         match self {
-            FurtherAttempts::Tokens(budget) => budget.first_attempt(),
-            FurtherAttempts::Window(window) => window.first_attempt(now),
+            RetryAllowance::Tokens(budget) => budget.first_attempt(),
+            RetryAllowance::Window(window) => window.first_attempt(now),
         }
     }
 
-    /// Takes one further attempt, if there is one.
+    /// Takes one retry if the limit allows it.
     pub fn take(&mut self, now: Micros) -> bool {
         match self {
-            FurtherAttempts::Tokens(budget) => budget.take(),
-            FurtherAttempts::Window(window) => window.take(now),
+            RetryAllowance::Tokens(budget) => budget.take(),
+            RetryAllowance::Window(window) => window.take(now),
         }
     }
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -17,9 +17,9 @@
 use crate::event::{Action, Event, NotRunReason, UnknownReason, Verdict};
 use crate::figures::Figures;
 use crate::fingerprint::Fingerprint;
-use crate::homes::{BoundCalls, Homes};
+use crate::homes::{HomeRegionFilter, Homes};
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
-use crate::retry::{FurtherAttempts, FurtherParams};
+use crate::retry::{RetryAllowance, RetryParams};
 use crate::rollout::{RolloutLanes, RolloutTargets};
 use crate::target::TargetState;
 use crate::work::CallKind;
@@ -37,7 +37,7 @@
     /// Targets one call may be offered to.
     pub attempt_limit: u32,
     /// How many further attempts may be sent.
-    pub further: FurtherParams,
+    pub further: RetryParams,
     /// Targets a call may be offered to once more after its daemon refused it, beyond
     /// the attempts: such an offer never reached a target.
     pub reroute_limit: u32,
@@ -95,9 +95,9 @@
     chooser: Chooser,
     attempt_limit: u32,
     reroute_limit: u32,
-    further: FurtherAttempts,
+    further: RetryAllowance,
     calls: HashMap<CallId, Call>,
-    bound: BoundCalls,
+    bound: HomeRegionFilter,
     attempts: HashMap<AttemptId, Attempt>,
     next_attempt: u64,
     considered: Vec<Considered>,
@@ -114,9 +114,9 @@
             chooser: Chooser::new(params.choose, seed),
             attempt_limit: params.attempt_limit,
             reroute_limit: params.reroute_limit,
-            further: FurtherAttempts::new(params.further),
+            further: RetryAllowance::new(params.further),
             calls: HashMap::new(),
-            bound: BoundCalls::default(),
+            bound: HomeRegionFilter::default(),
             attempts: HashMap::new(),
             next_attempt: first_attempt,
             considered: Vec::new(),
@@ -154,7 +154,7 @@
         if homes.is_anywhere() {
             return self.chooser.any_open(now);
         }
-        let outside = self.bound.outside(homes, self.chooser.targets());
+        let outside = self.bound.targets_outside(homes, self.chooser.targets());
         self.chooser.elsewhere(now, &outside) != Elsewhere::Nowhere
     }
 
@@ -220,7 +220,7 @@
     pub fn on(&mut self, now: Micros, event: Event) -> Vec<Action> {
         match event {
             Event::Bound { call, homes } => {
-                self.bound.bind(call, homes);
+                self.bound.set_homes(call, homes);
                 Vec::new()
             }
             Event::Named { call, request } => {
@@ -323,7 +323,7 @@
             return self.give_up(now, id);
         }
         let targets = self.chooser.targets();
-        let passed_over = self.bound.passed_over(id, &call.tried, targets);
+        let passed_over = self.bound.excluded(id, &call.tried, targets);
         let wanted = Wanted {
             tried: &passed_over,
             goal: call.goal,
@@ -357,7 +357,7 @@
         let elsewhere = match can_move {
             true => {
                 let targets = self.chooser.targets();
-                let passed_over = self.bound.passed_over(id, &call.tried, targets);
+                let passed_over = self.bound.excluded(id, &call.tried, targets);
                 self.chooser.elsewhere(now, &passed_over)
             }
             false => Elsewhere::Nowhere,
@@ -420,7 +420,7 @@
 
     /// Answers a call that no attempt is out for.
     fn give_up(&mut self, now: Micros, id: CallId) -> Vec<Action> {
-        let is_bound = self.bound.forget(id);
+        let is_bound = self.bound.remove(id);
         let Some(mut call) = self.calls.remove(&id) else {
             return Vec::new();
         };
@@ -444,7 +444,7 @@
     }
 
     fn finish(&mut self, now: Micros, id: CallId, verdict: Verdict) -> Vec<Action> {
-        self.bound.forget(id);
+        self.bound.remove(id);
         let Some(call) = self.calls.remove(&id) else {
             return Vec::new();
         };
@@ -523,7 +523,7 @@
             return self.withdraw_current(id);
         }
         let cancelled = self.cancel_current(id);
-        self.bound.forget(id);
+        self.bound.remove(id);
         if let Some(call) = self.calls.remove(&id) {
             self.charge(now, &call);
         }
--- a/crates/policy/tests/evacuation.rs
+++ b/crates/policy/tests/evacuation.rs
@@ -1,54 +1,54 @@
-//! Evacuated zones: the newest news count, whatever the order in which they come.
+//! Evacuated zones: the latest version wins, whatever the order of the updates.
 
-use lynxcleat_policy::{Candidate, Evacuations, Here, TargetId, ZoneNews, subset};
+use lynxcleat_policy::{Candidate, EvacuatedZones, Location, TargetId, ZoneUpdate, subset};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn news(zone: u8, version: u64) -> ZoneNews {
-    ZoneNews {
+fn update(zone: u8, version: u64) -> ZoneUpdate {
+    ZoneUpdate {
         zone: format!("zone-{zone}"),
         version,
-        // A version stands for one change, which is the same wherever it is heard.
+        // A version identifies one change, so its content depends on the version alone.
         evacuated: !version.is_multiple_of(3),
     }
 }
 
 #[test]
-fn a_zone_is_evacuated_until_it_is_taken_back() {
-    let mut zones = Evacuations::default();
+fn a_zone_is_evacuated_until_its_evacuation_ends() {
+    let mut zones = EvacuatedZones::default();
     assert!(!zones.is_evacuated("zone-1"));
-    assert!(zones.take(&news(1, 4)));
+    assert!(zones.apply(&update(1, 4)));
     assert!(zones.is_evacuated("zone-1") && !zones.is_evacuated("zone-2"));
     assert_eq!(zones.evacuated(), ["zone-1"]);
-    assert!(!zones.take(&news(1, 4)), "the same again");
-    assert!(zones.take(&news(1, 6)), "taken back");
+    assert!(!zones.apply(&update(1, 4)), "a repeated update");
+    assert!(zones.apply(&update(1, 6)), "the end of the evacuation");
     assert!(!zones.is_evacuated("zone-1"));
-    assert!(!zones.take(&news(1, 5)), "late news");
+    assert!(!zones.apply(&update(1, 5)), "a late update");
     assert!(!zones.is_evacuated("zone-1"));
-    assert_eq!(zones.all(), [news(1, 6)]);
+    assert_eq!(zones.updates(), [update(1, 6)]);
 }
 
 #[test]
-fn news_of_ever_more_zones_are_refused_at_some_point() {
-    let mut zones = Evacuations::default();
-    let name = |number: u64| ZoneNews {
+fn the_number_of_tracked_zones_is_bounded() {
+    let mut zones = EvacuatedZones::default();
+    let numbered = |number: u64| ZoneUpdate {
         zone: format!("zone-{number}"),
         version: number,
         evacuated: true,
     };
-    let taken = (1..10_000).filter(|number| zones.take(&name(*number)));
-    let taken = taken.count();
-    assert!(taken < 1_000, "{taken}");
-    let known = ZoneNews {
+    let applied = (1..10_000).filter(|number| zones.apply(&numbered(*number)));
+    let applied = applied.count();
+    assert!(applied < 1_000, "{applied}");
+    let known = ZoneUpdate {
         version: 20_000,
         evacuated: false,
-        ..name(1)
+        ..numbered(1)
     };
-    assert!(zones.take(&known), "what is known goes on");
+    assert!(zones.apply(&known), "updates of tracked zones still apply");
 }
 
 #[test]
-fn targets_of_an_evacuated_zone_are_linked_to_only_where_there_are_no_others() {
+fn targets_of_an_evacuated_zone_are_selected_only_where_there_are_no_others() {
     let candidate = |number: u32| Candidate {
         target: TargetId(number),
         host: format!("host-{number}"),
@@ -57,7 +57,7 @@
         region: String::new(),
         evacuated: number.is_multiple_of(2),
     };
-    let here = Here {
+    let here = Location {
         host: "host-0",
         place: "near",
         zone: "near",
@@ -72,29 +72,29 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(12), cases: 500, failure_persistence: None, ..Config::default() })]
 
-    /// Daemons that hear the same news in other orders, some twice, believe the same in the
-    /// end, and that is what the newest says; on the way no zone falls back to older news.
+    /// Daemons that receive the same updates in different orders, some of them twice, end in the
+    /// same state, which is that of the latest versions. No zone ever returns to an older one.
     #[test]
-    fn the_order_of_news_does_not_matter(
-        mut heard in prop::collection::vec((0..4_u8, 1..40_u64), 1..60),
+    fn the_order_of_updates_does_not_matter(
+        mut received in prop::collection::vec((0..4_u8, 1..40_u64), 1..60),
         swaps in prop::collection::vec((0..60_usize, 0..60_usize), 0..60),
     ) {
-        let mut one = Evacuations::default();
-        let mut newest = std::collections::BTreeMap::new();
-        for (zone, version) in &heard {
-            one.take(&news(*zone, *version));
-            let known = newest.entry(*zone).or_insert(*version);
+        let mut one = EvacuatedZones::default();
+        let mut latest = std::collections::BTreeMap::new();
+        for (zone, version) in &received {
+            one.apply(&update(*zone, *version));
+            let known = latest.entry(*zone).or_insert(*version);
             *known = (*known).max(*version);
             prop_assert_eq!(one.is_evacuated(&format!("zone-{zone}")), !known.is_multiple_of(3));
         }
         for (a, b) in swaps {
-            let len = heard.len();
-            heard.swap(a % len, b % len);
+            let len = received.len();
+            received.swap(a % len, b % len);
         }
-        let mut other = Evacuations::default();
-        for (zone, version) in heard.iter().chain(&heard) {
-            other.take(&news(*zone, *version));
+        let mut other = EvacuatedZones::default();
+        for (zone, version) in received.iter().chain(&received) {
+            other.apply(&update(*zone, *version));
         }
-        prop_assert_eq!(one.all(), other.all());
+        prop_assert_eq!(one.updates(), other.updates());
     }
 }
--- a/crates/policy/tests/goals/choice.rs
+++ b/crates/policy/tests/goals/choice.rs
@@ -17,7 +17,7 @@
             prices: PRICES,
         },
         attempt_limit: 2,
-        further: lynxcleat_policy::FurtherParams {
+        further: lynxcleat_policy::RetryParams {
             percent: 20,
             bound: None,
         },
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -1,11 +1,11 @@
-//! Calls with home regions: whatever happens, no target outside is offered one.
+//! Calls with home regions are never offered to a target outside them.
 
 use std::collections::HashMap;
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, Candidate, ChooseParams, Elsewhere, Event, FurtherParams,
-    Here, Homes, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement,
-    Source, TargetId, Verdict, WayPrices, subset, subset_with_homes,
+    Action, AttemptId, CallId, CallKind, Candidate, ChooseParams, Elsewhere, Event, Homes,
+    Location, NotRunReason, Policy, Refusal, RefusalReason, RetryParams, Router, RouterParams,
+    Settlement, Source, TargetId, Verdict, WayPrices, subset, subset_with_homes,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -26,7 +26,7 @@
             },
         },
         attempt_limit: 4,
-        further: FurtherParams {
+        further: RetryParams {
             percent: 100,
             bound: None,
         },
@@ -38,14 +38,14 @@
     format!("r{number}")
 }
 
-/// A router whose targets stand in these regions.
+/// A router with one target in each of `regions`.
 fn router(policy: Policy, regions: &[usize]) -> Router {
     let mut router = Router::new(params(policy), 7, 1);
     let ids = || (0..regions.len() as u32).map(TargetId);
     let targets: Vec<_> = ids().map(|id| (id, 100.0)).collect();
     router.set_targets(0, &targets);
-    let stands = ids().zip(regions.iter().map(|number| region(*number)));
-    router.set_regions(stands.collect());
+    let located = ids().zip(regions.iter().map(|number| region(*number)));
+    router.set_regions(located.collect());
     router
 }
 
@@ -93,13 +93,13 @@
         verdict,
         Verdict::NotRun { reason: NotRunReason::NoHomeTarget, retry_after_us } if *retry_after_us > 0
     ));
-    // Nothing is left of it: a call of the same number without homes goes out.
+    // No state of the call remains: one with the same ID and no home regions is sent.
     let actions = router.on(0, arrived(call, effect));
     assert!(matches!(actions.as_slice(), [Action::Send { .. }]));
 }
 
 #[test]
-fn a_half_is_told_of_no_target_outside_and_a_refused_call_does_not_move_there() {
+fn a_call_with_one_home_target_has_no_alternative_and_is_not_rerouted() {
     let mut router = router(Policy::GoalChance, &[0, 1, 1]);
     let call = CallId(1);
     let homes = only(&[0]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_call_that_moves_on_follows_a_change_of_its_homes() {
+fn a_rerouted_call_uses_its_current_homes() {
     let mut router = router(Policy::GoalChance, &[0, 1]);
     let call = CallId(1);
     router.on(
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn lists_of_regions_together_allow_what_both_allow() {
+fn an_intersection_allows_what_both_lists_allow() {
     let (left, right) = (only(&[0, 1]), only(&[1, 2]));
     assert_eq!(left.intersection(&right), only(&[1]));
     assert_eq!(left.intersection(&Homes::Anywhere), left);
@@ -170,9 +170,9 @@
     assert_eq!(Homes::from_settings(&[]), Homes::Anywhere);
 }
 
-/// What happens next to a call, drawn by the property.
+/// One random step of the property test.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Step {
     Arrive { call: u64, homes: u8, effect: bool },
     Rebind { call: u64, homes: u8 },
     Refuse(u8, RefusalReason),
@@ -199,8 +199,8 @@
 ];
 const SETTLEMENTS: [Settlement; 3] = [Settlement::NeverRan, Settlement::Ran, Settlement::Unknown];
 
-fn happening() -> impl Strategy<Value = Happening> {
-    use Happening::*;
+fn step() -> impl Strategy<Value = Step> {
+    use Step::*;
     let call = 0..6_u64;
     let any8 = any::<u8>;
     prop_oneof![
@@ -222,8 +222,8 @@
     ]
 }
 
-/// The home regions that a number stands for: none, or those of its bits.
-fn drawn_homes(bits: u8) -> Homes {
+/// Home regions encoded in `bits`: none for a multiple of 4, else those whose bits are set.
+fn homes_of(bits: u8) -> Homes {
     if bits.is_multiple_of(4) {
         return Homes::Anywhere;
     }
@@ -231,80 +231,79 @@
     only(&named)
 }
 
-/// The router with what a shell would know of it.
-struct World {
+/// The router and a model of its calls.
+struct Model {
     router: Router,
     regions: Vec<usize>,
     homes: HashMap<u64, Homes>,
-    out: Vec<(AttemptId, u64, TargetId)>,
+    /// Attempts that were sent and whose calls are not finished.
+    sent: Vec<(AttemptId, u64, TargetId)>,
     now: u64,
 }
 
-impl World {
-    fn event(&mut self, happening: Happening) -> Vec<Event> {
+impl Model {
+    fn events(&mut self, step: Step) -> Vec<Event> {
         let count = self.regions.len() as u8;
         let target = |drawn: u8| TargetId(u32::from(drawn % count));
-        let nth = |drawn: u8| self.out.get(drawn as usize % self.out.len().max(1));
+        let nth = |drawn: u8| self.sent.get(drawn as usize % self.sent.len().max(1));
         let attempt = |drawn: u8| nth(drawn).map(|(attempt, ..)| *attempt);
         let one = |event: Option<Event>| event.into_iter().collect::<Vec<_>>();
-        match happening {
-            Happening::Arrive { call, .. } if self.homes.contains_key(&call) => Vec::new(),
-            Happening::Arrive {
+        match step {
+            Step::Arrive { call, .. } if self.homes.contains_key(&call) => Vec::new(),
+            Step::Arrive {
                 call,
                 homes,
                 effect,
             } => {
-                let homes = drawn_homes(homes);
+                let homes = homes_of(homes);
                 self.homes.insert(call, homes.clone());
                 let call = CallId(call);
                 vec![Event::Bound { call, homes }, arrived(call, effect)]
             }
-            Happening::Rebind { call, homes } => {
+            Step::Rebind { call, homes } => {
                 let Some(known) = self.homes.get_mut(&call) else {
                     return Vec::new();
                 };
-                *known = drawn_homes(homes);
+                *known = homes_of(homes);
                 let homes = known.clone();
                 vec![Event::Bound {
                     call: CallId(call),
                     homes,
                 }]
             }
-            Happening::Refuse(at, reason) => one(attempt(at).map(|at| refused(at, reason))),
-            Happening::NotSent(at) => one(attempt(at).map(|attempt| Event::NotSent { attempt })),
-            Happening::LinkLost(at) => one(attempt(at).map(|attempt| Event::LinkLost { attempt })),
-            Happening::TargetLost(at) => {
-                one(attempt(at).map(|attempt| Event::TargetLost { attempt }))
-            }
-            Happening::Settle(at, settlement) => one(attempt(at).map(|attempt| Event::Settled {
+            Step::Refuse(at, reason) => one(attempt(at).map(|at| refused(at, reason))),
+            Step::NotSent(at) => one(attempt(at).map(|attempt| Event::NotSent { attempt })),
+            Step::LinkLost(at) => one(attempt(at).map(|attempt| Event::LinkLost { attempt })),
+            Step::TargetLost(at) => one(attempt(at).map(|attempt| Event::TargetLost { attempt })),
+            Step::Settle(at, settlement) => one(attempt(at).map(|attempt| Event::Settled {
                 attempt,
                 settlement,
             })),
-            Happening::Answer(at, source) => one(attempt(at).map(|attempt| Event::Answered {
+            Step::Answer(at, source) => one(attempt(at).map(|attempt| Event::Answered {
                 attempt,
                 source,
                 figures: None,
                 there_us: 10,
                 work_us: None,
             })),
-            Happening::Leave(at) => vec![Event::TargetLeaving { target: target(at) }],
-            Happening::Back(at) => vec![Event::TargetBack { target: target(at) }],
-            Happening::Linked(at, linked) => {
+            Step::Leave(at) => vec![Event::TargetLeaving { target: target(at) }],
+            Step::Back(at) => vec![Event::TargetBack { target: target(at) }],
+            Step::Linked(at, linked) => {
                 vec![Event::TargetLinked {
                     target: target(at),
                     linked,
                 }]
             }
-            Happening::Doubt(at, doubted) => {
+            Step::Doubt(at, doubted) => {
                 vec![Event::TargetDoubted {
                     target: target(at),
                     doubted,
                 }]
             }
-            Happening::Gone { call } if self.homes.contains_key(&call) => {
+            Step::Gone { call } if self.homes.contains_key(&call) => {
                 vec![Event::CallerGone { call: CallId(call) }]
             }
-            Happening::Gone { .. } => Vec::new(),
+            Step::Gone { .. } => Vec::new(),
         }
     }
 
@@ -317,23 +316,23 @@
                 elsewhere,
             } => {
                 let homes = &self.homes[&call.0];
-                let stands = region(self.regions[target.0 as usize]);
-                prop_assert!(homes.allows(&stands), "{homes:?} at {stands}");
+                let located = region(self.regions[target.0 as usize]);
+                prop_assert!(homes.allows(&located), "{homes:?} at {located}");
                 let others = self.regions.iter().enumerate();
                 let mut others = others.filter(|(nth, _)| *nth != target.0 as usize);
                 let any_inside = others.any(|(_, number)| homes.allows(&region(*number)));
                 prop_assert!(any_inside || elsewhere == Elsewhere::Nowhere);
-                self.out.push((attempt, call.0, target));
+                self.sent.push((attempt, call.0, target));
             }
             Action::Settle {
                 attempt, target, ..
             } => {
-                let sent = self.out.iter().find(|(sent, ..)| *sent == attempt);
-                prop_assert_eq!(sent.map(|(_, _, at)| *at), Some(target));
+                let sent = self.sent.iter().find(|(sent, ..)| *sent == attempt);
+                prop_assert_eq!(sent.map(|(_, _, sent_to)| *sent_to), Some(target));
             }
             Action::Finish { call, .. } => {
                 self.homes.remove(&call.0);
-                self.out.retain(|(_, of, _)| *of != call.0);
+                self.sent.retain(|(_, of, _)| *of != call.0);
             }
             Action::Cancel { .. } | Action::Withdraw { .. } => {}
         }
@@ -357,49 +356,49 @@
     fn no_call_is_offered_to_a_target_outside_its_homes(
         policy in prop::sample::select(&POLICIES[..]),
         regions in prop::collection::vec(0..3_usize, 1..40),
-        happenings in prop::collection::vec(happening(), 1..120),
+        steps in prop::collection::vec(step(), 1..120),
     ) {
         let router = router(policy, &regions);
-        let (homes, out) = (HashMap::new(), Vec::new());
-        let mut world = World { router, regions, homes, out, now: 0 };
-        for happening in happenings {
-            world.now += 500;
-            for event in world.event(happening) {
+        let (homes, sent) = (HashMap::new(), Vec::new());
+        let mut model = Model { router, regions, homes, sent, now: 0 };
+        for step in steps {
+            model.now += 500;
+            for event in model.events(step) {
                 let gone = match &event {
                     Event::CallerGone { call } => Some(call.0),
                     _ => None,
                 };
-                for action in world.router.on(world.now, event) {
-                    world.check(action)?;
+                for action in model.router.on(model.now, event) {
+                    model.check(action)?;
                 }
-                if let Some(call) = gone && !world.out.iter().any(|(_, of, _)| *of == call) {
-                    world.homes.remove(&call);
+                if let Some(call) = gone && !model.sent.iter().any(|(_, of, _)| *of == call) {
+                    model.homes.remove(&call);
                 }
             }
         }
     }
 
     #[test]
-    fn the_subset_holds_targets_of_each_home_region(
+    fn the_subset_contains_targets_of_each_home_region(
         regions in prop::collection::vec(0..4_usize, 0..60),
         wanted in prop::collection::btree_set(0..4_usize, 0..4),
         size in 1..20_usize,
     ) {
         let candidates: Vec<Candidate> = regions.iter().enumerate().map(candidate).collect();
-        let here = Here { host: "here", place: "p0", zone: "p0-1", region: "r0" };
+        let here = Location { host: "here", place: "p0", zone: "p0-1", region: "r0" };
         let names: Vec<String> = wanted.iter().map(|number| region(*number)).collect();
         let chosen = subset_with_homes(here, &candidates, size, &names);
         let plain = subset(here, &candidates, size);
-        prop_assert_eq!(&chosen[..plain.len()], &plain[..], "the nearest stay");
+        prop_assert_eq!(&chosen[..plain.len()], &plain[..], "the plain subset comes first");
         for number in wanted {
             let there = regions.iter().filter(|other| **other == number).count();
-            let held = chosen.iter().filter(|id| regions[id.0 as usize] == number).count();
-            prop_assert!(held >= there.min(size.div_ceil(2)), "{held} of {there}");
+            let selected = chosen.iter().filter(|id| regions[id.0 as usize] == number).count();
+            prop_assert!(selected >= there.min(size.div_ceil(2)), "{selected} of {there}");
         }
-        let mut once = chosen.clone();
-        once.sort_unstable();
-        once.dedup();
-        prop_assert_eq!(once.len(), chosen.len());
+        let mut distinct = chosen.clone();
+        distinct.sort_unstable();
+        distinct.dedup();
+        prop_assert_eq!(distinct.len(), chosen.len());
     }
 }
 
--- a/crates/policy/tests/asking.rs
+++ b/crates/policy/tests/load_queries.rs
@@ -1,4 +1,4 @@
-//! When a target is asked for its load before a call is offered to it.
+//! When a target's load is queried before a call is offered to it.
 
 use lynxcleat_policy::{
     Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, Elsewhere,
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 const MS: u64 = 1_000;
-/// Ways to other places have a price.
+/// Cost of sending a call to another place or region.
 const PRICES: WayPrices = WayPrices {
     far_percent: 20,
     region_percent: 20,
@@ -23,8 +23,8 @@
     }
 }
 
-/// A target whose calls take 80 ms, and that told its usual speed five times in a second, as
-/// others did many times.
+/// A target whose calls take 80 ms. It reported normal speed five times within a second, and
+/// other targets did so many times.
 fn admit() -> Admit {
     let mut admit = Admit::new(AdmitLimits {
         slots: 8,
@@ -65,19 +65,19 @@
     admit
 }
 
-/// Found by a test that failed beside load: a target that was slow when it told last was
-/// not asked, and the reading was no longer believed either, so calls began there.
+/// Guards against calls that begin at a slow target: one whose latest reading was slow was not
+/// queried, and the reading had already expired. This was seen in a test run under load.
 #[rstest]
-#[case::just_told(0)]
-#[case::believed(20)]
+#[case::just_reported(0)]
+#[case::trusted(20)]
 #[case::doubtful(900)]
 #[case::old(1_700)]
-#[case::forgotten(60_000)]
-fn no_call_begins_unasked_at_a_target_that_was_slow(#[case] age_ms: u64) {
+#[case::expired(60_000)]
+fn no_call_begins_at_a_slow_target_without_a_query(#[case] age_ms: u64) {
     let mut admit = admit();
-    let told_at = 1_000 * MS;
-    admit.on(told_at, AdmitEvent::Slowness(9_900));
-    let now = told_at + age_ms * MS;
+    let reported_at = 1_000 * MS;
+    admit.on(reported_at, AdmitEvent::Slowness(9_900));
+    let now = reported_at + age_ms * MS;
     let deadline = now + 5_000 * MS;
     let terms = terms(now + 400 * MS);
     let asked = admit.should_ask(now, deadline, &terms);
@@ -92,9 +92,9 @@
 }
 
 #[rstest]
-#[case::just_told(0, false)]
+#[case::just_reported(0, false)]
 #[case::old(1_000, true)]
-fn a_target_of_usual_speed_is_asked_when_its_reading_is_old(
+fn a_target_of_normal_speed_is_queried_when_its_reading_is_old(
     #[case] age_ms: u64,
     #[case] asked: bool,
 ) {
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -1,24 +1,25 @@
-//! Several regions: which targets a router keeps, where calls go, and whether news reach all.
+//! Several regions: which targets a router links to, where calls go, and whether gossip reaches
+//! every region.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Action, CallId, CallKind, Candidate, ChooseParams, Distance, Elsewhere, Event, FAR_NEIGHBOURS,
-    Figures, FurtherParams, Here, NEAR_NEIGHBOURS, Policy, REGION_NEIGHBOURS, Router, RouterParams,
-    TargetId, WayPrices, neighbours, subset,
+    Action, CallId, CallKind, Candidate, ChooseParams, Distance, Elsewhere, Event, Figures,
+    Location, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, Policy, RetryParams, Router,
+    RouterParams, SAME_ZONE_NEIGHBOURS, TargetId, WayPrices, neighbours, subset,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
 const MS: u64 = 1_000;
 const KIND: CallKind = CallKind(1);
-/// Slots of a target.
+/// Concurrent calls that a target serves.
 const SLOTS: u32 = 4;
-/// Daemons of one region that look beyond it at most.
-const KEEPERS: usize = 4;
+/// Maximum number of daemons of one region that connect to other regions.
+const CROSS_REGION_DAEMONS: usize = 4;
 
-fn here(member: &Candidate) -> Here<'_> {
-    Here {
+fn here(member: &Candidate) -> Location<'_> {
+    Location {
         host: &member.host,
         place: &member.place,
         zone: &member.zone,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Members of regions with so many zones each, with so many hosts each.
+/// Members of a deployment, given the number of hosts of each zone of each region.
 fn deployment(regions: &[Vec<usize>], seed: u64) -> Vec<Candidate> {
     let mut members: Vec<Candidate> = Vec::new();
     for (region, zones) in regions.iter().enumerate() {
@@ -47,26 +48,26 @@
     members
 }
 
-/// Both ends of a link between neighbours, as places in the list of members.
+/// Both ends of a link between neighbours, as indices into the list of members.
 type LinkEnds = (usize, usize);
 
 fn links(members: &[Candidate]) -> Vec<LinkEnds> {
     let mut links = Vec::new();
     for (from, member) in members.iter().enumerate() {
         let order = neighbours(here(member), members);
-        let near = order.near.iter().take(NEAR_NEIGHBOURS);
-        let far = order.far.iter().take(FAR_NEIGHBOURS);
-        let regions = order.regions.iter().take(REGION_NEIGHBOURS);
-        for target in near.chain(far).chain(regions) {
+        let same_zone = order.same_zone.iter().take(SAME_ZONE_NEIGHBOURS);
+        let other_zones = order.other_zones.iter().take(OTHER_ZONE_NEIGHBOURS);
+        let other_regions = order.other_regions.iter().take(OTHER_REGION_NEIGHBOURS);
+        for target in same_zone.chain(other_zones).chain(other_regions) {
             let to = members.iter().position(|other| other.target == *target);
-            links.push((from, to.expect("one of the members")));
+            links.push((from, to.expect("a neighbour is a member")));
         }
     }
     links
 }
 
-/// Whether links join all `nodes`, where each end is at the node that `node` gives.
-fn are_joined(
+/// Whether `links` connect all `nodes`. `node` maps the end of a link to its node.
+fn are_connected(
     nodes: &BTreeSet<usize>,
     links: impl Iterator<Item = LinkEnds> + Clone,
     node: impl Fn(usize) -> usize,
@@ -97,53 +98,53 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), cases: 60, failure_persistence: None, ..Config::default() })]
 
-    /// Whichever host is lost: those that are left choose anew and all hear of each other.
+    /// Whichever host is lost, the remaining ones select neighbours again and stay connected.
     #[test]
-    fn news_reach_every_region_without_any_one_host(regions in regions(), seed in 0..1_000_u64) {
+    fn gossip_reaches_every_region_after_the_loss_of_any_host(regions in regions(), seed in 0..1_000_u64) {
         let members = deployment(&regions, seed);
         for lost in 0..members.len() {
-            let mut left = members.clone();
-            left.remove(lost);
-            let all: BTreeSet<usize> = (0..left.len()).collect();
-            let links = links(&left);
-            prop_assert!(are_joined(&all, links.iter().copied(), |at| at), "without {lost}");
+            let mut remaining = members.clone();
+            remaining.remove(lost);
+            let all: BTreeSet<usize> = (0..remaining.len()).collect();
+            let links = links(&remaining);
+            prop_assert!(are_connected(&all, links.iter().copied(), |member| member), "without {lost}");
         }
     }
 
-    /// Before anybody chose anew, the links that are left still join all regions.
+    /// Before any daemon selects neighbours again, the remaining links still connect all regions.
     #[test]
-    fn no_one_host_carries_the_news_of_a_region(regions in regions(), seed in 0..1_000_u64) {
+    fn no_single_host_connects_a_region(regions in regions(), seed in 0..1_000_u64) {
         let members = deployment(&regions, seed);
         let links = links(&members);
-        let region = |at: usize| region_of(&members[at]);
+        let region = |member: usize| region_of(&members[member]);
         for lost in 0..members.len() {
-            let left = links.iter().filter(|(from, to)| *from != lost && *to != lost);
+            let remaining = links.iter().filter(|(from, to)| *from != lost && *to != lost);
             let nodes: BTreeSet<usize> = (0..members.len())
-                .filter(|at| *at != lost)
+                .filter(|member| *member != lost)
                 .map(region)
                 .collect();
-            prop_assert!(are_joined(&nodes, left.copied(), region), "without {lost}");
+            prop_assert!(are_connected(&nodes, remaining.copied(), region), "without {lost}");
         }
     }
 
-    /// However large the regions are, a few links cross.
+    /// The number of links between regions does not grow with the size of the regions.
     #[test]
-    fn few_links_between_neighbours_cross(regions in regions(), seed in 0..1_000_u64) {
+    fn few_neighbour_links_cross_regions(regions in regions(), seed in 0..1_000_u64) {
         let members = deployment(&regions, seed);
         let crossing = links(&members)
             .into_iter()
             .filter(|(from, to)| members[*from].region != members[*to].region)
             .count();
-        prop_assert!(crossing <= KEEPERS * regions.len());
+        prop_assert!(crossing <= CROSS_REGION_DAEMONS * regions.len());
     }
 
-    /// A subset holds the nearest of its own region, and a few of others.
+    /// A subset contains the nearest targets of the own region and a few of other regions.
     #[test]
     fn a_subset_is_of_the_own_region_and_a_few_others(
-        regions in regions(), seed in 0..1_000_u64, size in 1..24_usize, at in 0..1_000_usize
+        regions in regions(), seed in 0..1_000_u64, size in 1..24_usize, index in 0..1_000_usize
     ) {
         let members = deployment(&regions, seed);
-        let router = &members[at % members.len()];
+        let router = &members[index % members.len()];
         let here = here(router);
         let chosen = subset(here, &members, size);
         prop_assert!(chosen.len() <= size);
@@ -157,17 +158,17 @@
             .map(|target| &members[target.0 as usize])
             .filter(|member| member.region != router.region)
             .collect();
-        let there = members.iter().filter(|member| member.region != router.region).count();
-        let at_least = 2.min(size / 4).min(there);
-        prop_assert!(others.len() >= at_least, "{} others", others.len());
+        let elsewhere = members.iter().filter(|member| member.region != router.region).count();
+        let min_others = 2.min(size / 4).min(elsewhere);
+        prop_assert!(others.len() >= min_others, "{} others", others.len());
         prop_assert!(others.len() <= size / 4, "{} others", others.len());
-        let named: BTreeSet<&str> = others.iter().map(|other| other.region.as_str()).collect();
-        prop_assert_eq!(named.len(), others.len().min(regions.len() - 1), "of all regions");
+        let covered: BTreeSet<&str> = others.iter().map(|other| other.region.as_str()).collect();
+        prop_assert_eq!(covered.len(), others.len().min(regions.len() - 1), "covers the regions");
     }
 }
 
 #[test]
-fn a_region_without_targets_is_served_by_others() {
+fn a_region_without_targets_uses_targets_of_others() {
     let members = deployment(&[vec![3], vec![10, 10], vec![10]], 1);
     let (router, targets) = members.split_first().expect("members");
     let elsewhere = &targets[2..];
@@ -187,30 +188,30 @@
             },
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        further: RetryParams {
             percent: 100,
             bound: None,
         },
         reroute_limit: 3,
     };
     let mut router = Router::new(params, seed, 0);
-    let ways: Vec<(TargetId, f64)> = TARGETS
+    let paths: Vec<(TargetId, f64)> = TARGETS
         .iter()
         .map(|(target, distance)| match distance {
             Distance::OtherRegion => (*target, 24_000.0),
             _ => (*target, 300.0),
         })
         .collect();
-    router.set_targets(0, &ways);
+    router.set_targets(0, &paths);
     router.set_distances(&TARGETS);
-    // What is usual is learned slowly.
+    // The baseline is learned slowly, so the reports are repeated.
     for _ in 0..200 {
-        tell_all(&mut router, 0, |_| 0);
+        report_all(&mut router, 0, |_| 0);
     }
     router
 }
 
-/// Four near targets, one in another place, and two of other regions.
+/// Four targets in the own zone, one in another place of the region, and two in other regions.
 const TARGETS: [(TargetId, Distance); 7] = [
     (TargetId(0), Distance::OwnZone),
     (TargetId(1), Distance::OwnZone),
@@ -221,7 +222,7 @@
     (TargetId(6), Distance::OtherRegion),
 ];
 
-fn tell(router: &mut Router, now: u64, target: TargetId, load: u32) {
+fn report(router: &mut Router, now: u64, target: TargetId, load: u32) {
     let figures = Figures {
         in_flight: load.min(SLOTS),
         held: load.saturating_sub(SLOTS),
@@ -232,7 +233,7 @@
     router.on(now, Event::FiguresSeen { target, figures });
 }
 
-/// Where a call with a goal of 300 ms goes, and where it can go then.
+/// Sends a call with a goal of 300 ms. Returns its target and the alternatives left for it.
 fn send(router: &mut Router, now: u64, call: u64) -> (TargetId, Elsewhere) {
     let actions = router.on(
         now,
@@ -260,18 +261,18 @@
     TARGETS[target.0 as usize].1
 }
 
-/// Tells a router how many calls there are at the targets, by their distance.
-fn tell_all(router: &mut Router, now: u64, load: impl Fn(Distance) -> u32) {
+/// Reports to a router the number of calls at each target, by the target's distance.
+fn report_all(router: &mut Router, now: u64, load: impl Fn(Distance) -> u32) {
     for (target, distance) in TARGETS {
-        tell(router, now, target, load(distance));
+        report(router, now, target, load(distance));
     }
 }
 
 #[test]
-fn calls_stay_in_the_region_until_that_is_worth_less_than_the_way() {
+fn calls_stay_in_the_region_while_that_costs_less_than_leaving_it() {
     for seed in 0..50 {
         let mut router = router(seed);
-        tell_all(&mut router, 0, |distance| match distance {
+        report_all(&mut router, 0, |distance| match distance {
             Distance::OtherRegion => 0,
             _ => SLOTS / 2,
         });
@@ -282,33 +283,36 @@
 }
 
 #[test]
-fn another_region_serves_what_the_own_cannot_and_calls_come_home_spread() {
+fn calls_that_the_own_region_cannot_serve_leave_it_and_return_spread() {
     const ROUTERS: u64 = 80;
     let mut routers: Vec<Router> = (0..ROUTERS).map(router).collect();
     for router in &mut routers {
-        tell_all(router, 0, |distance| match distance {
+        report_all(router, 0, |distance| match distance {
             Distance::OtherRegion => 0,
             _ => 10 * SLOTS,
         });
         let (target, _) = send(router, 0, 1);
         assert_eq!(distance_of(target), Distance::OtherRegion);
     }
-    let mut taken: BTreeMap<TargetId, u64> = BTreeMap::new();
+    let mut returned: BTreeMap<TargetId, u64> = BTreeMap::new();
     for router in &mut routers {
-        tell_all(router, 500 * MS, |_| 0);
+        report_all(router, 500 * MS, |_| 0);
         let (target, _) = send(router, 500 * MS, 2);
-        *taken.entry(target).or_default() += 1;
+        *returned.entry(target).or_default() += 1;
     }
-    let near = taken
+    let near = returned
         .iter()
         .filter(|(target, _)| distance_of(**target) == Distance::OwnZone);
     assert_eq!(near.clone().map(|(_, calls)| calls).sum::<u64>(), ROUTERS);
     let most = near.map(|(_, calls)| *calls).max();
-    assert!(most <= Some(ROUTERS / 2), "{taken:?}: not all to one");
+    assert!(
+        most <= Some(ROUTERS / 2),
+        "too many calls to one target: {returned:?}"
+    );
 }
 
 #[test]
-fn a_router_says_that_only_other_regions_are_left() {
+fn a_router_reports_that_only_other_regions_are_left() {
     let mut router = router(1);
     for (target, distance) in TARGETS {
         if distance < Distance::OtherRegion {
@@ -331,9 +335,9 @@
     assert_eq!(prices.of(Distance::OtherRegion), 0.6);
 }
 
-/// Only what a call may reach is chosen, and offered as another way.
+/// Targets beyond the permitted distance are neither selected nor counted as alternatives.
 #[test]
-fn a_call_that_may_not_leave_the_region_does_not() {
+fn a_call_that_may_not_leave_the_region_stays() {
     for seed in 0..20 {
         let mut router = router(seed);
         router.set_reach(Distance::OwnRegion);
@@ -352,7 +356,7 @@
     }
 }
 
-/// A way to another region is one to another place as well.
+/// A path to another region also leads to another place.
 #[test]
 fn another_region_costs_no_less_than_another_place() {
     let prices = WayPrices {
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! The bound on further attempts that routers keep together.
+//! The bound on retries that several routers respect together.
 
 use lynxcleat_policy::{RetryBound, RetryWindow};
 use proptest::prelude::*;
@@ -11,42 +11,42 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), cases: 500, failure_persistence: None, ..Config::default() })]
 
-    /// Whatever comes when: in every window, of all routers together, further attempts
-    /// are at most the share of the first ones of that window or the one before it, and
-    /// the reserves.
+    /// In every window, the retries of all routers together are at most the percentage of the
+    /// first attempts in that window and the one before it, plus the reserves.
     #[test]
-    fn several_routers_keep_to_one_bound(
+    fn several_routers_respect_one_bound(
         steps in prop::collection::vec((0..4_usize, 0..3_u8, 0..300_000_u64), 1..600)
     ) {
         let bound = RetryBound { window_us: WINDOW_US, reserve: RESERVE };
         let mut routers = vec![RetryWindow::new(bound, PERCENT); 4];
         let mut now = 0;
-        let (mut first, mut further) = (Vec::new(), Vec::new());
+        let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
         for (router, kind, gap) in steps {
             now += gap;
             if kind == 0 {
                 routers[router].first_attempt(now);
-                first.push(now);
+                first_attempts.push(now);
             } else if routers[router].take(now) {
-                further.push(now);
+                retries.push(now);
             }
         }
         let count = |times: &[u64], from: u64, until: u64| {
             times.iter().filter(|at| (from..until).contains(*at)).count() as u64
         };
-        for from in further.iter().copied() {
+        for from in retries.iter().copied() {
             let until = from + WINDOW_US;
             let earlier = from.saturating_sub(WINDOW_US);
-            let firsts = count(&first, from, until) + count(&first, earlier, from);
-            let allowed = firsts * u64::from(PERCENT) / 100 + 4 * u64::from(RESERVE);
-            let sent = count(&further, from, until);
+            let first =
+                count(&first_attempts, from, until) + count(&first_attempts, earlier, from);
+            let allowed = first * u64::from(PERCENT) / 100 + 4 * u64::from(RESERVE);
+            let sent = count(&retries, from, until);
             prop_assert!(sent <= allowed, "{sent} of {allowed} from {from}");
         }
     }
 }
 
 #[test]
-fn the_share_of_calls_may_be_sent_again_and_no_more() {
+fn only_the_percentage_of_calls_and_the_reserve_may_be_retried() {
     let bound = RetryBound {
         window_us: WINDOW_US,
         reserve: RESERVE,
@@ -60,5 +60,8 @@
     assert_eq!(taken, 20 + RESERVE as usize);
     let later = now + 2 * WINDOW_US;
     let taken = (0..100).filter(|_| window.take(later)).count();
-    assert_eq!(taken, RESERVE as usize, "what was long ago counts no more");
+    assert_eq!(
+        taken, RESERVE as usize,
+        "older first attempts no longer count"
+    );
 }
--- a/crates/policy/tests/rollout/offering.rs
+++ b/crates/policy/tests/rollout/offering.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, Event, FurtherParams, Policy, Refusal,
-    RefusalReason, RolloutTargets, Router, RouterParams, Source, TargetId,
+    Action, AttemptId, CallId, CallKind, ChooseParams, Event, Policy, Refusal, RefusalReason,
+    RetryParams, RolloutTargets, Router, RouterParams, Source, TargetId,
 };
 
 use super::SECOND;
@@ -19,7 +19,7 @@
             prices: lynxcleat_policy::WayPrices::NONE,
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        further: RetryParams {
             percent: 100,
             bound: None,
         },
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,9 +1,9 @@
 //! The router's decisions, as a table of what happens and what is done.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, Candidate, ChooseParams, Event, Figures, Fingerprint, Health, Here,
-    NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement, Source,
-    TargetId, UnknownReason, Verdict, WayPrices, subset,
+    Action, AttemptId, CallId, Candidate, ChooseParams, Event, Figures, Fingerprint, Health,
+    Location, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement,
+    Source, TargetId, UnknownReason, Verdict, WayPrices, subset,
 };
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 3,
-        further: lynxcleat_policy::FurtherParams {
+        further: lynxcleat_policy::RetryParams {
             percent: 10,
             bound: None,
         },
@@ -355,7 +355,7 @@
             region: String::new(),
         })
         .collect();
-    let here = |host| Here {
+    let here = |host| Location {
         host,
         place: "place-0",
         zone: "zone-0",
--- a/crates/policy/tests/targets_down.rs
+++ b/crates/policy/tests/targets_down.rs
@@ -1,8 +1,9 @@
 //! Calls whose target is down go on to those that are up.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, Event, FurtherParams, Health, NotRunReason,
-    Policy, Refusal, RefusalReason, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    Action, AttemptId, CallId, CallKind, ChooseParams, Event, Health, NotRunReason, Policy,
+    Refusal, RefusalReason, RetryParams, Router, RouterParams, Source, TargetId, Verdict,
+    WayPrices,
 };
 
 const EJECT_US: u64 = 1_000_000;
@@ -19,7 +20,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        further: RetryParams {
             percent: 0,
             bound: None,
         },
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -3,7 +3,7 @@
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
     AttemptId, CallKind, Elsewhere, EndId, Figures, HalfEvidence, Homes, NotRunReason, Refusal,
-    RolloutNews, SuspectNews, ZoneNews,
+    RolloutNews, SuspectNews, ZoneUpdate,
 };
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -408,7 +408,7 @@
         reply: SettingsReply,
     },
     /// Availability zones that were evacuated, or are no more, as the sender knows.
-    Zones(Vec<ZoneNews>),
+    Zones(Vec<ZoneUpdate>),
     /// Where rollouts stand, as the sender knows.
     Rollouts(Vec<RolloutNews>),
     /// What the half of the sender's target counted while a rollout runs.
