--- a/crates/daemon/src/half/deliver.rs
+++ b/crates/daemon/src/half/deliver.rs
@@ -1,7 +1,7 @@
 //! Delivering a call that has a slot to the target, and what its end tells.
 
 use lynxcleat_once::OpId;
-use lynxcleat_policy::{AdmitEvent, AttemptId, Micros, Outcome, RefusalReason};
+use lynxcleat_policy::{AdmissionEvent, AttemptId, Micros, Outcome, RefusalReason};
 use lynxcleat_wire::{BodyToCome, CallFrame};
 
 use super::bodies::Expected;
@@ -141,7 +141,7 @@
         let body = RequestBody::Whole(std::mem::take(&mut call.body).into_vec());
         let request = self.request(call, instance, body);
         let over = tokio::time::sleep_until(self.core.clock.instant(self.awaited_until(op)));
-        let sends = || self.half.admit(AdmitEvent::Sent { call: self.id });
+        let sends = || self.half.admit(AdmissionEvent::Sent { call: self.id });
         let exchange = self.half.pool.exchange(&self.core.dialect, request, sends);
         if op.is_some() {
             return tokio::select! {
@@ -179,7 +179,7 @@
         let expected = bodies.expect(self.link, attempt, (to_come, window));
         let request = self.request(call, instance, RequestBody::Pieces(&expected));
         let over = tokio::time::sleep_until(self.core.clock.instant(self.awaited_until(op)));
-        let sends = || self.half.admit(AdmitEvent::Sent { call: self.id });
+        let sends = || self.half.admit(AdmissionEvent::Sent { call: self.id });
         let exchange = self.half.pool.exchange(&self.core.dialect, request, sends);
         let (exchange, ended_by) = tokio::select! {
             exchange = exchange => (exchange, "target"),
@@ -244,7 +244,7 @@
     }
 
     fn ended(&self, service_us: Option<u32>, load: Option<TargetLoad>) {
-        self.half.admit(AdmitEvent::Done {
+        self.half.admit(AdmissionEvent::Done {
             call: self.id,
             service_us,
             slowness_percent: load.map(|load| load.slowness_percent),
--- a/crates/daemon/src/half/serve.rs
+++ b/crates/daemon/src/half/serve.rs
@@ -5,7 +5,8 @@
 
 use lynxcleat_once::{Admission, FenceReply, Operation, RefusedOnce};
 use lynxcleat_policy::{
-    AdmitEvent, AttemptId, CallId, CallTerms, EndId, Micros, Refusal, RefusalReason, RequestPrints,
+    AdmissionEvent, AttemptId, CallAttributes, CallId, EndId, Micros, Refusal, RefusalReason,
+    RequestPrints,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame, Frame};
@@ -378,10 +379,10 @@
         let now = self.core.clock.now();
         let (sender, receiver) = flume::bounded(1);
         lock(&self.half.waiting).insert(self.id, sender);
-        self.half.admit(AdmitEvent::Offer {
+        self.half.admit(AdmissionEvent::Offer {
             call: self.id,
             deadline: self.deadline,
-            terms,
+            attributes: terms,
         });
         if let Ok(go) = receiver.try_recv() {
             return go;
@@ -400,9 +401,9 @@
         self.withdraw(&receiver)
     }
 
-    fn terms(&self, call: &CallFrame) -> CallTerms {
+    fn terms(&self, call: &CallFrame) -> CallAttributes {
         let now = self.core.clock.now();
-        CallTerms {
+        CallAttributes {
             goal: call.goal_left_us.map(|left_us| now + left_us),
             kind: call.kind,
             priority: combined_priority(call),
@@ -413,7 +414,7 @@
 
     /// Asks the target for its load before a call is offered to it, where what is known of
     /// it is so old that this is worth the question.
-    async fn ask_if_worth_it(&self, terms: &CallTerms) {
+    async fn ask_if_worth_it(&self, terms: &CallAttributes) {
         let Some(goal) = terms.goal else { return };
         if asks_for_load(self.core, &self.settings) && self.half.should_ask(self.deadline, terms) {
             let path = &self.settings.load_path;
@@ -425,7 +426,7 @@
 
     /// Gives up the wait. A slot that was given meanwhile is given back.
     fn withdraw(&self, receiver: &flume::Receiver<Go>) -> Go {
-        self.half.admit(AdmitEvent::Withdraw { call: self.id });
+        self.half.admit(AdmissionEvent::Withdraw { call: self.id });
         lock(&self.half.waiting).remove(&self.id);
         if let Ok(Go::Deliver) = receiver.try_recv() {
             self.done(None);
--- a/crates/daemon/src/half/state.rs
+++ b/crates/daemon/src/half/state.rs
@@ -7,8 +7,9 @@
 
 use lynxcleat_once::{Fence, FenceLimits, FenceReply, Operation};
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallTerms, Figures, Micros,
-    NextLook, Origins, Refusal, ReportEffect, TargetReports, WayPrices,
+    AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, AttemptId,
+    CallAttributes, CallId, Figures, Micros, NextRecheck, Origins, Refusal, ReportEffect,
+    TargetReports, WayPrices,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame};
@@ -50,7 +51,7 @@
 /// State of the target half.
 pub struct Half {
     pub(super) clock: Clock,
-    pub(super) admit: Mutex<Admit>,
+    pub(super) admit: Mutex<AdmissionController>,
     pub(super) waiting: Mutex<HashMap<CallId, flume::Sender<Go>>>,
     pub(super) fence: Mutex<Fence<Kept>>,
     pub(super) ended: watch::Sender<u64>,
@@ -83,7 +84,7 @@
     /// A half in front of an idle target. Where the target reports its own state,
     /// it is given no calls before it did.
     pub fn new(clock: Clock, started_ms: u64, pool: Pool, target_reports: bool) -> Self {
-        let nothing = AdmitLimits {
+        let nothing = AdmissionLimits {
             slots: 1,
             hold_limit: 0,
             prices: WayPrices::default(),
@@ -97,8 +98,8 @@
             entries: 0,
             bytes: 0,
         };
-        let mut admit = Admit::new(nothing);
-        admit.on(clock.now(), AdmitEvent::Start);
+        let mut admit = AdmissionController::new(nothing);
+        admit.on(clock.now(), AdmissionEvent::DaemonStarted);
         Half {
             clock,
             admit: Mutex::new(admit),
@@ -140,7 +141,7 @@
     pub fn apply_limits(&self) {
         let Some(own) = self.settings() else { return };
         let reported = self.with_reports(|reports| reports.open()?.slots).flatten();
-        self.admit(AdmitEvent::SetLimits(AdmitLimits {
+        self.admit(AdmissionEvent::SetLimits(AdmissionLimits {
             slots: reported.unwrap_or(own.slots).max(1),
             hold_limit: own.hold_limit,
             prices: way_prices(&own),
@@ -174,8 +175,8 @@
     pub fn set_leaving(&self, leaving: bool) -> bool {
         let changed = self.is_leaving() != leaving;
         let event = match leaving {
-            true => AdmitEvent::Leave,
-            false => AdmitEvent::Return,
+            true => AdmissionEvent::Leave,
+            false => AdmissionEvent::Rejoin,
         };
         self.admit(event);
         changed
@@ -204,7 +205,7 @@
     /// Takes the load of another target of the same service.
     pub fn learn_peer(&self, figures: Figures) {
         if let Some(reading) = figures.slowness(self.clock.now()) {
-            self.admit(AdmitEvent::PeerSlowness(reading));
+            self.admit(AdmissionEvent::PeerSlowness(reading));
         }
     }
 
@@ -235,7 +236,7 @@
             return ReportEffect::Nothing;
         };
         if is_other {
-            self.admit(AdmitEvent::Replaced);
+            self.admit(AdmissionEvent::Replaced);
         }
         effect
     }
@@ -243,7 +244,7 @@
     /// The target told how much longer it is cold.
     pub(super) fn learn_cold(&self, left_us: Micros) {
         let was_cold = self.is_cold();
-        self.admit(AdmitEvent::ColdTold { left_us });
+        self.admit(AdmissionEvent::ColdReported { left_us });
         let is_cold = self.is_cold();
         if was_cold != is_cold {
             log::info!(cold = is_cold, left_ms = left_us / 1_000; "target cold");
@@ -252,7 +253,7 @@
 
     /// The target was given no calls for a while and may have turned cold meanwhile.
     pub fn doubt_warmth(&self) {
-        self.admit(AdmitEvent::ColdDoubted);
+        self.admit(AdmissionEvent::ColdUncertain);
     }
 
     /// Whether the target is cold or may be, so that it is given few calls.
@@ -262,14 +263,14 @@
 
     /// Whether the target is to be asked how much longer it is cold.
     pub fn wants_cold_reading(&self) -> bool {
-        lock(&self.admit).wants_cold_reading()
+        lock(&self.admit).needs_cold_report()
     }
 
     /// Waits until held calls are to be looked at again, and says when.
-    pub async fn next_look(&self) -> NextLook {
+    pub async fn next_look(&self) -> NextRecheck {
         loop {
             let wanted = self.look_wanted.notified();
-            let next = lock(&self.admit).next_look(self.clock.now());
+            let next = lock(&self.admit).next_recheck(self.clock.now());
             match next {
                 Some(next) => return next,
                 None => wanted.await,
@@ -278,13 +279,13 @@
     }
 
     /// Whether the target is to be asked for its load before a call is offered to it.
-    pub(super) fn should_ask(&self, deadline: Micros, terms: &CallTerms) -> bool {
-        lock(&self.admit).should_ask(self.clock.now(), deadline, terms)
+    pub(super) fn should_ask(&self, deadline: Micros, terms: &CallAttributes) -> bool {
+        lock(&self.admit).should_probe(self.clock.now(), deadline, terms)
     }
 
     /// Looks at held calls again.
     pub fn look(&self) {
-        self.admit(AdmitEvent::Look);
+        self.admit(AdmissionEvent::Recheck);
     }
 
     /// Time since a call was offered last.
@@ -329,18 +330,18 @@
     }
 
     /// Feeds the admission and tells the calls that it decides on.
-    pub(super) fn admit(&self, event: AdmitEvent) {
+    pub(super) fn admit(&self, event: AdmissionEvent) {
         let now = self.clock.now();
         let mut admit = lock(&self.admit);
         let actions = admit.on(now, event);
-        if admit.next_look(now).is_some() {
+        if admit.next_recheck(now).is_some() {
             self.look_wanted.notify_one();
         }
         let mut waiting = lock(&self.waiting);
         for action in actions {
             let (call, go) = match action {
-                AdmitAction::Deliver { call } => (call, Go::Deliver),
-                AdmitAction::Refuse { call, refusal } => (call, Go::Refuse(refusal)),
+                AdmissionAction::Deliver { call } => (call, Go::Deliver),
+                AdmissionAction::Refuse { call, refusal } => (call, Go::Refuse(refusal)),
             };
             if let Some(sender) = waiting.remove(&call) {
                 let _ = sender.send(go);
--- a/crates/daemon/src/half/target.rs
+++ b/crates/daemon/src/half/target.rs
@@ -5,7 +5,7 @@
 
 use lynxcleat_once::OpId;
 use lynxcleat_policy::{
-    AdmitEvent, Cost, Figures, FirstReport, ReportEffect, ReportedState, TargetReport,
+    AdmissionEvent, Cost, Figures, FirstReport, ReportEffect, ReportedState, TargetReport,
 };
 use lynxcleat_wire::{Answer, Frame};
 
@@ -93,7 +93,7 @@
         }
         if let Some(load) = told.load {
             self.count_reading();
-            self.admit(AdmitEvent::Slowness(load.slowness_percent));
+            self.admit(AdmissionEvent::Slowness(load.slowness_percent));
             self.tell_slowness(core);
         }
     }
@@ -110,7 +110,7 @@
         let is_first = self.with_reports(|reports| reports.in_place().is_none()) == Some(true);
         let mut effect = self.change_reports(|reports| reports.take(report));
         if is_first {
-            self.admit(AdmitEvent::FirstReport(first));
+            self.admit(AdmissionEvent::FirstReport(first));
         }
         if effect == ReportEffect::Rival {
             let at_address = self.ask_instance(core).await;
--- a/crates/load/src/rounds.rs
+++ b/crates/load/src/rounds.rs
@@ -1,6 +1,6 @@
 //! The load cases in which policies are compared, and their figures.
 
-use lynxcleat_policy::{AdmitLimits, ChooseParams, Micros, Policy, RouterParams, WayPrices};
+use lynxcleat_policy::{AdmissionLimits, ChooseParams, Micros, Policy, RouterParams, WayPrices};
 use serde::Serialize;
 
 use crate::service::{FakeService, FakeTarget, Measured, ServiceOptions};
@@ -210,7 +210,7 @@
     ServiceOptions {
         routers: ROUTERS,
         targets: vec![FakeTarget::default(); deployment.targets],
-        limits: AdmitLimits {
+        limits: AdmissionLimits {
             slots: deployment.slots,
             hold_limit: 4 * deployment.slots,
             prices: WayPrices::default(),
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -2,15 +2,16 @@
 //! small fake targets.
 //!
 //! Nothing here decides. Every call is routed by a real [`Router`] and admitted
-//! by a real [`Admit`]; the fakes only take time, fail, and carry messages with a
+//! by a real [`AdmissionController`]; the fakes only take time, fail, and carry messages with a
 //! delay. Runs are seeded and repeat exactly.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
 use lynxcleat_policy::{
-    Action, Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallKind, CallTerms,
-    Event, Figures, Micros, Refusal, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    Action, AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, AttemptId,
+    CallAttributes, CallId, CallKind, Event, Figures, Micros, Refusal, Router, RouterParams,
+    Source, TargetId, Verdict, WayPrices,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -57,7 +58,7 @@
     /// The targets.
     pub targets: Vec<FakeTarget>,
     /// Slots and hold limit of each target.
-    pub limits: AdmitLimits,
+    pub limits: AdmissionLimits,
     /// Mean service time in microseconds.
     pub service_us: f64,
     /// Settings of the routers.
@@ -154,7 +155,7 @@
 
 struct Target {
     fake: FakeTarget,
-    admit: Admit,
+    admit: AdmissionController,
     inside: HashMap<CallId, (Sent, Micros, Micros)>,
 }
 
@@ -193,7 +194,7 @@
                 )
             })
             .collect();
-        let limits = AdmitLimits {
+        let limits = AdmissionLimits {
             slots: options.limits.slots,
             hold_limit: if options.plain {
                 u32::MAX
@@ -210,7 +211,7 @@
             .iter()
             .map(|fake| Target {
                 fake: fake.clone(),
-                admit: Admit::new(limits),
+                admit: AdmissionController::new(limits),
                 inside: HashMap::new(),
             })
             .collect();
@@ -365,23 +366,23 @@
             .inside
             .insert(local, (sent, self.now, self.now));
         let patient = sent.deadline + 1_000 * self.options.deadline_us;
-        let offer = AdmitEvent::Offer {
+        let offer = AdmissionEvent::Offer {
             call: local,
             deadline: if self.options.plain {
                 patient
             } else {
                 sent.deadline
             },
-            terms: CallTerms::default(),
+            attributes: CallAttributes::default(),
         };
         self.admit(target, offer);
     }
 
-    fn admit(&mut self, target: usize, event: AdmitEvent) {
+    fn admit(&mut self, target: usize, event: AdmissionEvent) {
         for action in self.targets[target].admit.on(self.now, event) {
             match action {
-                AdmitAction::Deliver { call } => self.deliver(target, call),
-                AdmitAction::Refuse { call, refusal } => {
+                AdmissionAction::Deliver { call } => self.deliver(target, call),
+                AdmissionAction::Refuse { call, refusal } => {
                     let (sent, _, _) = self.targets[target].inside.remove(&call).expect("inside");
                     self.refusals.push(refusal);
                     let reply = Reply::Refused(self.refusals.len() - 1);
@@ -422,7 +423,7 @@
             return;
         };
         let took = (self.now - delivered) as u32;
-        let done = AdmitEvent::Done {
+        let done = AdmissionEvent::Done {
             call: local,
             service_us: ok.then_some(took),
             slowness_percent: None,
@@ -491,9 +492,9 @@
         let held = self.targets[target].admit.is_held(local);
         self.targets[target].inside.remove(&local);
         let event = if held {
-            AdmitEvent::Withdraw { call: local }
+            AdmissionEvent::Withdraw { call: local }
         } else {
-            AdmitEvent::Done {
+            AdmissionEvent::Done {
                 call: local,
                 service_us: None,
                 slowness_percent: None,
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -5,8 +5,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lynxcleat_policy::{
-    Action, Admit, AdmitEvent, AdmitLimits, Budget, CallId, CallKind, CallTerms, ChooseParams,
-    Cost, Event, Figures, Policy, Router, RouterParams, Source, TargetId, WayPrices,
+    Action, AdmissionController, AdmissionEvent, AdmissionLimits, Budget, CallAttributes, CallId,
+    CallKind, ChooseParams, Cost, Event, Figures, Policy, Router, RouterParams, Source, TargetId,
+    WayPrices,
 };
 
 const FIGURES: Figures = Figures {
@@ -82,7 +83,7 @@
 
 fn admission(criterion: &mut Criterion) {
     criterion.bench_function("admit and done", |bencher| {
-        let limits = AdmitLimits {
+        let limits = AdmissionLimits {
             slots: 12,
             hold_limit: 48,
             prices: WayPrices::default(),
@@ -90,7 +91,7 @@
             cold_calls_per_s: 0,
             cold_ms: 0,
         };
-        let mut admit = Admit::new(limits);
+        let mut admit = AdmissionController::new(limits);
         let mut now = 0;
         bencher.iter(|| {
             now += 50;
@@ -98,16 +99,16 @@
             let deadline = now + 1_000_000;
             black_box(admit.on(
                 now,
-                AdmitEvent::Offer {
+                AdmissionEvent::Offer {
                     call,
                     deadline,
-                    terms: CallTerms::default(),
+                    attributes: CallAttributes::default(),
                 },
             ));
             let service_us = Some(5_000);
             black_box(admit.on(
                 now,
-                AdmitEvent::Done {
+                AdmissionEvent::Done {
                     call,
                     service_us,
                     slowness_percent: None,
--- a/crates/policy/src/chance.rs
+++ b/crates/policy/src/chance.rs
@@ -2,8 +2,8 @@
 //! its goal, and a little for one that is back before its deadline.
 
 use crate::ids::Micros;
+use crate::service_time::ServiceTimeEstimate;
 use crate::slowness::LikelySlowness;
-use crate::work::Work;
 
 /// What an answer after the goal is worth, as a part of one within it.
 const LATE_WORTH: f64 = 0.1;
@@ -22,7 +22,7 @@
     /// Time left until its deadline, in microseconds.
     pub deadline_left_us: f64,
     /// What calls of its kind take.
-    pub work: Work,
+    pub work: ServiceTimeEstimate,
 }
 
 impl Need {
--- a/crates/policy/src/chooser.rs
+++ b/crates/policy/src/chooser.rs
@@ -17,9 +17,9 @@
 use crate::figures::Figures;
 use crate::ids::{Micros, TargetId};
 use crate::policy_name::Policy;
+use crate::service_time::{CallKind, ServiceTimes};
 use crate::slowness::{LikelySlowness, UsualSlowness};
 use crate::target::{Health, TargetState, Usual};
-use crate::work::{CallKind, Works};
 
 /// Targets scored for one choice at most.
 const SAMPLE: usize = 8;
@@ -116,7 +116,7 @@
     ejected: Vec<TargetId>,
     usual: Usual,
     usual_slowness: UsualSlowness,
-    works: Works,
+    works: ServiceTimes,
     next: usize,
     picks: u64,
     /// Whether targets whose link may be silent are passed over: some other is open.
@@ -138,7 +138,7 @@
             ejected: Vec::new(),
             usual: Usual::default(),
             usual_slowness: UsualSlowness::default(),
-            works: Works::default(),
+            works: ServiceTimes::default(),
             next: 0,
             picks: 0,
             passes_over_doubted: false,
@@ -193,7 +193,7 @@
 
     /// Takes the time that a call of a kind takes at usual speed.
     pub fn learn_work(&mut self, kind: CallKind, work_us: f64) {
-        self.works.learn(kind, work_us);
+        self.works.record(kind, work_us);
     }
 
     /// The targets, in the order given.
@@ -469,7 +469,7 @@
         let need = Need {
             goal_left_us,
             deadline_left_us: left_us(now, wanted.deadline),
-            work: self.works.of_or_assumed(wanted.kind, goal_left_us),
+            work: self.works.estimate_or_assumed(wanted.kind, goal_left_us),
         };
         let prospect = state.prospect(now, &self.usual);
         let slowness = self.usual_slowness.expect(now, state.slowness());
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -8,7 +8,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::homes::Homes;
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Why a target's daemon did not run a call.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,15 +6,16 @@
 //! feed these machines from sockets; a bench or a fuzzer can feed the very same
 //! code from virtual time.
 
-mod admit;
-mod admit_event;
+mod admission;
+mod admission_event;
 mod begin;
 mod body_meter;
 mod body_window;
 mod budget;
 mod chance;
 mod chooser;
-mod cold;
+mod cold_start;
+mod concurrency_limit;
 mod copy_rate;
 mod distance;
 mod elsewhere;
@@ -23,10 +24,9 @@
 mod fair_budget;
 mod figures;
 mod fingerprint;
-mod hold;
+mod hold_queue;
 mod homes;
 mod ids;
-mod limit;
 mod neighbours;
 mod origins;
 mod pipeline;
@@ -40,23 +40,24 @@
 mod rollout;
 mod router;
 mod sample;
+mod service_time;
 mod settings_sources;
 mod silence;
 mod slowness;
 mod spell;
 mod subset;
 mod target;
-mod work;
 
-pub use admit::Admit;
-pub use admit_event::{AdmitAction, AdmitEvent, AdmitLimits, NextLook};
+pub use admission::AdmissionController;
+pub use admission_event::{AdmissionAction, AdmissionEvent, AdmissionLimits, NextRecheck};
 pub use begin::{Begin, Choice, Outlook};
 pub use body_meter::BodyMeter;
 pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
 pub use chance::Need;
 pub use chooser::{ChooseParams, Chooser, Considered};
-pub use cold::{ColdBound, FirstReport};
+pub use cold_start::{ColdStartLimiter, FirstReport};
+pub use concurrency_limit::ConcurrencyLimit;
 pub use copy_rate::CopyRate;
 pub use distance::{Distance, WayPrices};
 pub use elsewhere::Elsewhere;
@@ -67,10 +68,9 @@
 pub use fair_budget::FairBudget;
 pub use figures::Figures;
 pub use fingerprint::{Fingerprint, NotAFingerprint, RequestPrints};
-pub use hold::{CallTerms, Held, Hold};
+pub use hold_queue::{CallAttributes, HeldCall, HoldQueue};
 pub use homes::{Homes, subset_with_homes};
 pub use ids::{AttemptId, CallId, EndId, Micros, TargetId};
-pub use limit::LearnedLimit;
 pub use neighbours::{
     FAR_NEIGHBOURS, NEAR_NEIGHBOURS, NeighbourOrder, REGION_NEIGHBOURS, neighbours, rank,
 };
@@ -95,10 +95,10 @@
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
+pub use service_time::{CallKind, ServiceTimeEstimate, ServiceTimes};
 pub use settings_sources::{NextSource, SettingsSource, SettingsSources};
 pub use silence::SilenceLimit;
 pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
 pub use spell::Spells;
 pub use subset::{Candidate, Here, OTHER_REGIONS_MIN, subset};
 pub use target::{Health, TargetState, Usual};
-pub use work::{CallKind, Work, Works};
--- a/crates/policy/src/origins.rs
+++ b/crates/policy/src/origins.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Kinds that are told apart; of further ones nothing is known.
 const KINDS_LIMIT: usize = 256;
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Kinds of calls that one half counts apart; calls of further kinds are not counted.
 pub(super) const KINDS_LIMIT: usize = 16;
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use crate::ids::TargetId;
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Part of the allowed share that routers use. The rest is kept for the move at the end, which
 /// begins before the deadline.
--- a/crates/policy/src/rollout/judge.rs
+++ b/crates/policy/src/rollout/judge.rs
@@ -14,7 +14,7 @@
 
 use super::evidence::{HalfEvidence, KINDS_LIMIT, Tally, time_class};
 use crate::ids::Micros;
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Sum of log-likelihoods at which a test speaks against a target: a good one gets there
 /// about once in e^8, some 3,000, calls that begin anew.
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -21,8 +21,8 @@
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
 use crate::retry::{FurtherAttempts, FurtherParams};
 use crate::rollout::{RolloutLanes, RolloutTargets};
+use crate::service_time::CallKind;
 use crate::target::TargetState;
-use crate::work::CallKind;
 
 use own_failures::OwnFailures;
 
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,14 +1,15 @@
-//! Admission: exact slots, holding by deadline, refusal at once.
+//! Tests of admission control: exact slots, queuing by deadline, early refusal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallTerms, RefusalReason, WayPrices,
+    AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
+    RefusalReason, WayPrices,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-const LIMITS: AdmitLimits = AdmitLimits {
+const LIMITS: AdmissionLimits = AdmissionLimits {
     slots: 2,
     hold_limit: 3,
     prices: WayPrices::NONE,
@@ -17,41 +18,41 @@
     cold_ms: 0,
 };
 
-fn offer(call: u64, deadline: u64) -> AdmitEvent {
-    AdmitEvent::Offer {
+fn offer(call: u64, deadline: u64) -> AdmissionEvent {
+    AdmissionEvent::Offer {
         call: CallId(call),
         deadline,
-        terms: CallTerms::default(),
+        attributes: CallAttributes::default(),
     }
 }
 
-fn done(call: u64, service_us: Option<u32>) -> AdmitEvent {
-    AdmitEvent::Done {
+fn done(call: u64, service_us: Option<u32>) -> AdmissionEvent {
+    AdmissionEvent::Done {
         call: CallId(call),
         service_us,
         slowness_percent: None,
     }
 }
 
-fn delivered(actions: &[AdmitAction]) -> Vec<u64> {
+fn delivered(actions: &[AdmissionAction]) -> Vec<u64> {
     let calls = actions.iter().filter_map(|action| match action {
-        AdmitAction::Deliver { call } => Some(call.0),
-        AdmitAction::Refuse { .. } => None,
+        AdmissionAction::Deliver { call } => Some(call.0),
+        AdmissionAction::Refuse { .. } => None,
     });
     calls.collect()
 }
 
-fn refused(actions: &[AdmitAction]) -> Vec<(u64, RefusalReason)> {
+fn refused(actions: &[AdmissionAction]) -> Vec<(u64, RefusalReason)> {
     let calls = actions.iter().filter_map(|action| match action {
-        AdmitAction::Refuse { call, refusal } => Some((call.0, refusal.reason)),
-        AdmitAction::Deliver { .. } => None,
+        AdmissionAction::Refuse { call, refusal } => Some((call.0, refusal.reason)),
+        AdmissionAction::Deliver { .. } => None,
     });
     calls.collect()
 }
 
 #[test]
-fn held_calls_go_by_deadline_and_those_past_it_are_refused() {
-    let mut admit = Admit::new(LIMITS);
+fn held_calls_are_dispatched_by_deadline_and_expired_ones_refused() {
+    let mut admit = AdmissionController::new(LIMITS);
     for call in 1..=2 {
         assert_eq!(delivered(&admit.on(0, offer(call, 9_000))), [call]);
     }
@@ -60,7 +61,7 @@
     assert!(admit.on(0, offer(5, 1_000)).is_empty());
     let full = admit.on(0, offer(6, 9_000));
     assert_eq!(refused(&full), [(6, RefusalReason::Full)]);
-    // Call 5 cannot finish any more; call 4 has the next deadline.
+    // Call 5 can no longer finish in time; call 4 has the next deadline.
     let actions = admit.on(2_000, done(1, Some(2_000)));
     assert_eq!(refused(&actions), [(5, RefusalReason::TooLate)]);
     assert_eq!(delivered(&actions), [4]);
@@ -68,14 +69,14 @@
 }
 
 #[test]
-fn what_cannot_finish_in_time_is_refused_when_it_arrives_with_a_time_to_come_back() {
-    let mut admit = Admit::new(LIMITS);
+fn calls_that_cannot_finish_in_time_are_refused_on_arrival_with_a_retry_hint() {
+    let mut admit = AdmissionController::new(LIMITS);
     admit.on(0, offer(1, 90_000));
     admit.on(10_000, done(1, Some(10_000)));
     admit.on(10_000, offer(2, 90_000));
     admit.on(10_000, offer(3, 90_000));
     let actions = admit.on(10_000, offer(4, 24_000));
-    let [AdmitAction::Refuse { refusal, .. }] = actions.as_slice() else {
+    let [AdmissionAction::Refuse { refusal, .. }] = actions.as_slice() else {
         panic!("{actions:?}");
     };
     assert_eq!(refusal.reason, RefusalReason::TooLate);
@@ -84,23 +85,23 @@
 }
 
 #[test]
-fn a_leaving_target_finishes_what_it_has_and_takes_nothing_new() {
-    let mut admit = Admit::new(LIMITS);
+fn a_leaving_target_finishes_accepted_calls_and_refuses_new_ones() {
+    let mut admit = AdmissionController::new(LIMITS);
     for call in 1..=3 {
         admit.on(0, offer(call, 90_000));
     }
-    admit.on(0, AdmitEvent::Leave);
+    admit.on(0, AdmissionEvent::Leave);
     let actions = admit.on(0, offer(4, 90_000));
     assert_eq!(refused(&actions), [(4, RefusalReason::Leaving)]);
     assert_eq!(delivered(&admit.on(5, done(1, Some(5)))), [3]);
-    admit.on(9, AdmitEvent::Return);
+    admit.on(9, AdmissionEvent::Rejoin);
     admit.on(9, done(2, Some(5)));
     assert_eq!(delivered(&admit.on(9, offer(5, 90_000))), [5]);
 }
 
 #[test]
-fn failures_never_make_the_service_look_fast() {
-    let mut admit = Admit::new(LIMITS);
+fn failures_do_not_lower_the_service_time() {
+    let mut admit = AdmissionController::new(LIMITS);
     admit.on(0, offer(1, 90_000));
     admit.on(8_000, done(1, Some(8_000)));
     for call in 2..50 {
@@ -110,11 +111,11 @@
     assert_eq!(admit.figures(0).service_us, 8_000);
 }
 
-/// Found by the leaving tests: one slow call was remembered for minutes, because
-/// the target was avoided for it and so rarely learnt better.
+/// Regression test: one slow call was remembered for minutes, because the target was
+/// avoided for it and so rarely produced newer samples.
 #[test]
-fn after_a_pause_one_service_time_replaces_an_old_one() {
-    let mut admit = Admit::new(LIMITS);
+fn after_a_pause_one_sample_replaces_the_old_service_time() {
+    let mut admit = AdmissionController::new(LIMITS);
     admit.on(0, offer(1, 90_000));
     admit.on(40_000, done(1, Some(40_000)));
     admit.on(5_000_000, offer(2, 6_000_000));
@@ -124,19 +125,19 @@
 }
 
 #[test]
-fn the_more_are_refused_the_later_they_are_told_to_come_back() {
-    let mut admit = Admit::new(LIMITS);
+fn the_retry_hint_grows_with_the_number_of_refusals() {
+    let mut admit = AdmissionController::new(LIMITS);
     admit.on(0, offer(1, 900_000));
     admit.on(10_000, done(1, Some(10_000)));
     for call in 2..=6 {
         admit.on(10_000, offer(call, 900_000));
     }
-    let mut told = |call| match admit.on(10_000, offer(call, 900_000)).as_slice() {
-        [AdmitAction::Refuse { refusal, .. }] => refusal.retry_after_us,
+    let mut retry_after = |call| match admit.on(10_000, offer(call, 900_000)).as_slice() {
+        [AdmissionAction::Refuse { refusal, .. }] => refusal.retry_after_us,
         other => panic!("{other:?}"),
     };
-    let first = told(7);
-    let last = (8..200).map(&mut told).last().expect("some");
+    let first = retry_after(7);
+    let last = (8..200).map(&mut retry_after).last().expect("some");
     assert!(last > 10 * first, "{first} then {last}");
     assert!(last <= 5_000_000);
 }
@@ -144,13 +145,13 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(5), cases: 2_000, failure_persistence: None, ..Config::default() })]
 
-    /// Against a plain model: never more than the slots in flight, never more
-    /// than the limit held, each call decided exactly once, none lost.
+    /// Checks against a simple model: never more calls in flight than slots, never more
+    /// queued than the limit, every call decided exactly once and none lost.
     #[test]
     fn every_call_is_decided_once_within_the_limits(
         steps in prop::collection::vec((0..4_u8, 0..40_u64, 0..2_000_u64), 1..200)
     ) {
-        let mut admit = Admit::new(LIMITS);
+        let mut admit = AdmissionController::new(LIMITS);
         let mut now = 0;
         let mut next = 0;
         let mut held: BTreeSet<u64> = BTreeSet::new();
@@ -174,18 +175,18 @@
                 _ => match nth(held.iter().copied().collect()) {
                     Some(call) => {
                         held.remove(&call);
-                        AdmitEvent::Withdraw { call: CallId(call) }
+                        AdmissionEvent::Withdraw { call: CallId(call) }
                     }
                     None => continue,
                 },
             };
             for action in admit.on(now, event) {
                 match action {
-                    AdmitAction::Deliver { call } => {
+                    AdmissionAction::Deliver { call } => {
                         prop_assert!(held.remove(&call.0), "decided twice");
                         running.insert(call.0, now);
                     }
-                    AdmitAction::Refuse { call, .. } => {
+                    AdmissionAction::Refuse { call, .. } => {
                         prop_assert!(held.remove(&call.0), "decided twice");
                     }
                 }
--- a/crates/policy/tests/asking.rs
+++ b/crates/policy/tests/asking.rs
@@ -1,8 +1,8 @@
 //! When a target is asked for its load before a call is offered to it.
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, Elsewhere,
-    SlownessReading, WayPrices,
+    AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
+    CallKind, Elsewhere, SlownessReading, WayPrices,
 };
 use rstest::rstest;
 
@@ -14,19 +14,19 @@
 };
 const KIND: CallKind = CallKind(1);
 
-fn terms(goal: u64) -> CallTerms {
-    CallTerms {
+fn terms(goal: u64) -> CallAttributes {
+    CallAttributes {
         goal: Some(goal),
         kind: KIND,
         elsewhere: Elsewhere::Near,
-        ..CallTerms::default()
+        ..CallAttributes::default()
     }
 }
 
 /// A target whose calls take 80 ms, and that told its usual speed five times in a second, as
 /// others did many times.
-fn admit() -> Admit {
-    let mut admit = Admit::new(AdmitLimits {
+fn admit() -> AdmissionController {
+    let mut admit = AdmissionController::new(AdmissionLimits {
         slots: 8,
         hold_limit: 48,
         prices: PRICES,
@@ -38,24 +38,24 @@
         let at = nth * 40 * MS;
         admit.on(
             at,
-            AdmitEvent::PeerSlowness(SlownessReading { factor: 1.0, at }),
+            AdmissionEvent::PeerSlowness(SlownessReading { factor: 1.0, at }),
         );
     }
     for nth in 0..5 {
         let now = nth * 200 * MS;
-        admit.on(now, AdmitEvent::Slowness(100));
+        admit.on(now, AdmissionEvent::Slowness(100));
         let call = CallId(nth);
         admit.on(
             now,
-            AdmitEvent::Offer {
+            AdmissionEvent::Offer {
                 call,
                 deadline: now + 5_000 * MS,
-                terms: terms(now + 400 * MS),
+                attributes: terms(now + 400 * MS),
             },
         );
         admit.on(
             now + 80 * MS,
-            AdmitEvent::Done {
+            AdmissionEvent::Done {
                 call,
                 service_us: Some(80_000),
                 slowness_percent: Some(100),
@@ -76,18 +76,18 @@
 fn no_call_begins_unasked_at_a_target_that_was_slow(#[case] age_ms: u64) {
     let mut admit = admit();
     let told_at = 1_000 * MS;
-    admit.on(told_at, AdmitEvent::Slowness(9_900));
+    admit.on(told_at, AdmissionEvent::Slowness(9_900));
     let now = told_at + age_ms * MS;
     let deadline = now + 5_000 * MS;
     let terms = terms(now + 400 * MS);
-    let asked = admit.should_ask(now, deadline, &terms);
+    let asked = admit.should_probe(now, deadline, &terms);
     let call = CallId(99);
-    let offer = AdmitEvent::Offer {
+    let offer = AdmissionEvent::Offer {
         call,
         deadline,
-        terms,
+        attributes: terms,
     };
-    let begins = admit.on(now, offer) == [AdmitAction::Deliver { call }];
+    let begins = admit.on(now, offer) == [AdmissionAction::Deliver { call }];
     assert!(asked || !begins, "asked {asked}, begins {begins}");
 }
 
@@ -102,7 +102,7 @@
     let now = (880 + age_ms) * MS;
     let deadline = now + 5_000 * MS;
     assert_eq!(
-        admit.should_ask(now, deadline, &terms(now + 150 * MS)),
+        admit.should_probe(now, deadline, &terms(now + 150 * MS)),
         asked
     );
 }
--- a/crates/policy/tests/goals/main.rs
+++ b/crates/policy/tests/goals/main.rs
@@ -3,7 +3,7 @@
 mod admission;
 mod choice;
 
-use lynxcleat_policy::{CallKind, CallTerms, TargetId, WayPrices};
+use lynxcleat_policy::{CallAttributes, CallKind, TargetId, WayPrices};
 
 const MS: u64 = 1_000;
 /// Ways to other places have a price.
@@ -15,11 +15,11 @@
 const NEAR: TargetId = TargetId(0);
 const FAR: TargetId = TargetId(1);
 
-fn terms(goal: u64, priority: u32) -> CallTerms {
-    CallTerms {
+fn terms(goal: u64, priority: u32) -> CallAttributes {
+    CallAttributes {
         goal: Some(goal),
         kind: KIND,
         priority,
-        ..CallTerms::default()
+        ..CallAttributes::default()
     }
 }
