--- a/crates/policy/src/call_origins.rs
+++ b/crates/policy/src/call_origins.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use crate::work::CallKind;
+use crate::service_time::CallKind;
 
 /// Maximum number of kinds tracked. Nothing is learned about kinds beyond it.
 const MAX_KINDS: usize = 256;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,8 +7,8 @@
 //! code from virtual time.
 
 mod ack_timeout;
-mod admit;
-mod admit_event;
+mod admission;
+mod admission_event;
 mod begin;
 mod body_meter;
 mod body_window;
@@ -16,7 +16,8 @@
 mod call_origins;
 mod chance;
 mod chooser;
-mod cold;
+mod cold_start;
+mod concurrency_limit;
 mod distance;
 mod elsewhere;
 mod evacuation;
@@ -24,10 +25,9 @@
 mod fair_budget;
 mod figures;
 mod fingerprint;
-mod hold;
+mod hold_queue;
 mod homes;
 mod ids;
-mod limit;
 mod neighbours;
 mod pipeline;
 mod policy_name;
@@ -40,17 +40,17 @@
 mod rollout;
 mod router;
 mod sample;
+mod service_time;
 mod settings_pacer;
 mod settings_sources;
 mod slowness;
 mod spell;
 mod subset;
 mod target;
-mod work;
 
 pub use ack_timeout::AckTimeout;
-pub use admit::Admit;
-pub use admit_event::{AdmitAction, AdmitEvent, AdmitLimits, NextLook};
+pub use admission::AdmissionController;
+pub use admission_event::{AdmissionAction, AdmissionEvent, AdmissionLimits, NextRecheck};
 pub use begin::{Begin, Choice, Outlook};
 pub use body_meter::BodyMeter;
 pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
@@ -58,7 +58,8 @@
 pub use call_origins::CallOrigins;
 pub use chance::Need;
 pub use chooser::{ChooseParams, Chooser, Considered};
-pub use cold::{ColdBound, FirstReport};
+pub use cold_start::{ColdStartLimiter, FirstReport};
+pub use concurrency_limit::ConcurrencyLimit;
 pub use distance::{Distance, WayPrices};
 pub use elsewhere::Elsewhere;
 pub use evacuation::{EvacuatedZones, ZoneUpdate};
@@ -68,10 +69,9 @@
 pub use fair_budget::FairBudget;
 pub use figures::Figures;
 pub use fingerprint::{Fingerprint, NotAFingerprint, RequestPrints};
-pub use hold::{CallTerms, Held, Hold};
+pub use hold_queue::{CallAttributes, HeldCall, HoldQueue};
 pub use homes::{Homes, subset_with_homes};
 pub use ids::{AttemptId, CallId, EndId, Micros, TargetId};
-pub use limit::LearnedLimit;
 pub use neighbours::{
     NeighbourOrder, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS,
     neighbours, rank,
@@ -96,10 +96,10 @@
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
+pub use service_time::{CallKind, ServiceTimeEstimate, ServiceTimes};
 pub use settings_pacer::SettingsPacer;
 pub use settings_sources::{NextSource, SettingsSource, SettingsSourceSelector};
 pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
 pub use spell::Spells;
 pub use subset::{Candidate, Location, MIN_OTHER_REGION_TARGETS, subset};
 pub use target::{Health, TargetState, Usual};
-pub use work::{CallKind, Work, Works};
