--- a/crates/daemon/src/callers/pieces.rs
+++ b/crates/daemon/src/callers/pieces.rs
@@ -119,7 +119,7 @@
                 return end;
             }
             self.hear_all();
-            if self.window.room() == 0 {
+            if self.window.available() == 0 {
                 continue;
             }
             match self.send_piece().await {
@@ -133,7 +133,7 @@
     /// Nothing is read from the caller while nothing may be sent.
     async fn wait_for_room(&mut self) -> Result<(), BodyEnd> {
         self.hear_all();
-        while self.window.room() == 0 {
+        while self.window.available() == 0 {
             let opened = self.reader.opened.recv_async().await;
             self.hear(opened.map_err(|_| BodyEnd::CallEnded)?);
         }
@@ -182,7 +182,7 @@
 
     /// Sends one piece. Returns whether it was the last one.
     async fn send_piece(&mut self) -> Result<bool, BodyEnd> {
-        let room = usize::try_from(self.window.room()).unwrap_or(usize::MAX);
+        let room = usize::try_from(self.window.available()).unwrap_or(usize::MAX);
         let length = self.rest.len().min(PIECE_BYTES).min(room);
         let last = self.is_read && length == self.rest.len();
         if length == 0 && !last {
@@ -197,7 +197,7 @@
             return Ok(false);
         }
         let bytes = self.rest.split_to(length);
-        let is_allowed = self.window.send(length as u64, last);
+        let is_allowed = self.window.try_send(length as u64, last);
         debug_assert!(is_allowed, "the piece is within the window");
         let piece = PieceFrame {
             attempt: to.attempt,
--- a/crates/daemon/src/explain.rs
+++ b/crates/daemon/src/explain.rs
@@ -115,12 +115,12 @@
 
     /// Whether a decision about a call is to be logged.
     pub fn logs(&self, now: Micros, success: bool) -> bool {
-        lock(&self.sampler).take(now, success)
+        lock(&self.sampler).sample(now, success)
     }
 
     /// Failures that were not logged, for there were too many.
     pub fn unlogged(&self) -> u64 {
-        lock(&self.sampler).dropped()
+        lock(&self.sampler).dropped_failures()
     }
 
     /// The trace of a call, if it is still kept.
--- a/crates/daemon/src/half/bodies.rs
+++ b/crates/daemon/src/half/bodies.rs
@@ -14,7 +14,7 @@
 
 use futures_util::StreamExt;
 use hyper::body::{Body, Bytes, Frame as BodyFrame, SizeHint};
-use lynxcleat_policy::{AttemptId, BodyMeter, Micros, ReceiveWindow};
+use lynxcleat_policy::{AttemptId, BodyCreditScheduler, Micros, ReceiveWindow};
 use lynxcleat_wire::{BodyToCome, Frame, PieceFrame};
 use serde_bytes::ByteBuf;
 use thiserror::Error;
@@ -51,7 +51,7 @@
 /// Lets bodies come in their turn.
 struct Turns {
     clock: Clock,
-    meter: Mutex<BodyMeter<Key>>,
+    meter: Mutex<BodyCreditScheduler<Key>>,
     /// The links that bodies come on.
     links: Mutex<HashMap<Key, Arc<Link>>>,
 }
@@ -63,14 +63,14 @@
         {
             let links = lock(&self.links);
             if links.contains_key(&key) {
-                lock(&self.meter).want(key, bytes);
+                lock(&self.meter).request(key, bytes);
             }
         }
         self.go_on();
     }
 
     fn arrived(&self, key: Key, bytes: u64) {
-        lock(&self.meter).arrived(key, bytes);
+        lock(&self.meter).on_received(key, bytes);
         self.go_on();
     }
 
@@ -78,7 +78,7 @@
         {
             let mut links = lock(&self.links);
             links.remove(&key);
-            lock(&self.meter).end(key);
+            lock(&self.meter).remove(key);
         }
         self.go_on();
     }
@@ -86,7 +86,7 @@
     /// Tells the bodies whose turn it is.
     fn go_on(&self) {
         loop {
-            let next = lock(&self.meter).next(self.clock.now());
+            let next = lock(&self.meter).next_grant(self.clock.now());
             let Some((key, bytes)) = next else { return };
             let link = lock(&self.links).get(&key).cloned();
             let attempt = key.1;
@@ -128,7 +128,7 @@
     }
 
     fn taken(&self, bytes: u64) {
-        let more = lock(&self.state).taken(bytes);
+        let more = lock(&self.state).release(bytes);
         if let Some(bytes) = more {
             self.tell(bytes);
         }
@@ -164,7 +164,7 @@
             arriving: Arc::default(),
             turns: Arc::new(Turns {
                 clock,
-                meter: Mutex::new(BodyMeter::new(ON_THE_WAY_BYTES)),
+                meter: Mutex::new(BodyCreditScheduler::new(ON_THE_WAY_BYTES)),
                 links: Mutex::default(),
             }),
         }
@@ -225,7 +225,7 @@
             count(&metrics.dropped_answers, "piece");
             return;
         };
-        let arrived = lock(&body.window.state).arrived(piece.bytes.len() as u64, piece.last);
+        let arrived = lock(&body.window.state).receive(piece.bytes.len() as u64, piece.last);
         if let Err(fault) = arrived {
             arriving.remove(&key);
             drop(arriving);
@@ -314,7 +314,7 @@
 
     /// Bytes that arrived.
     pub(super) fn bytes(&self) -> u64 {
-        lock(&self.window.state).bytes()
+        lock(&self.window.state).received()
     }
 }
 
--- a/crates/daemon/src/half/ends.rs
+++ b/crates/daemon/src/half/ends.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Mutex;
 
-use lynxcleat_policy::EndId;
+use lynxcleat_policy::TargetExitId;
 use tokio::sync::watch;
 
 use crate::sync::lock;
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(super) struct Ends {
     /// The end since which it took no connection, where it ended under calls.
-    open: Mutex<Option<EndId>>,
+    open: Mutex<Option<TargetExitId>>,
     /// Whether nothing listens at its address.
     down: watch::Sender<bool>,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Found {
     /// Its name.
-    pub id: EndId,
+    pub id: TargetExitId,
     /// Whether no other call found it before.
     pub is_new: bool,
 }
@@ -56,7 +56,7 @@
     pub(super) fn found(&self) -> Found {
         let mut open = lock(&self.open);
         let is_new = open.is_none();
-        let id = *open.get_or_insert_with(|| EndId(rand::random()));
+        let id = *open.get_or_insert_with(|| TargetExitId(rand::random()));
         Found { id, is_new }
     }
 }
--- a/crates/daemon/src/half/serve.rs
+++ b/crates/daemon/src/half/serve.rs
@@ -5,7 +5,8 @@
 
 use lynxcleat_once::{Admission, FenceReply, Operation, RefusedOnce};
 use lynxcleat_policy::{
-    AdmitEvent, AttemptId, CallId, CallTerms, EndId, Micros, Refusal, RefusalReason, RequestPrints,
+    AdmitEvent, AttemptId, CallId, CallTerms, Micros, Refusal, RefusalReason, RequestFingerprints,
+    TargetExitId,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame, Frame};
@@ -58,7 +59,7 @@
     Answer(Answer, Option<u32>),
     Refused(Refusal),
     /// Its answer was lost, where the target ended under it by which end.
-    Lost(Option<EndId>),
+    Lost(Option<TargetExitId>),
     /// The sender no longer wants to know.
     Unwanted,
 }
@@ -353,7 +354,7 @@
     fn known_as<'b>(
         &'b self,
         call: &'b CallFrame,
-        prints: &'b OnceLock<RequestPrints>,
+        prints: &'b OnceLock<RequestFingerprints>,
     ) -> Option<quarantine::Request<'b>> {
         call.to_come.is_none().then(|| quarantine::Request {
             quarantine: &self.core.quarantine,
--- a/crates/daemon/src/half/state.rs
+++ b/crates/daemon/src/half/state.rs
@@ -7,8 +7,8 @@
 
 use lynxcleat_once::{Fence, FenceLimits, FenceReply, Operation};
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallTerms, Figures, Micros,
-    NextLook, Origins, Refusal, ReportEffect, TargetReports, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallTerms, DistanceCosts,
+    Micros, NextLook, Origins, Refusal, ReportEffect, TargetLoad, TargetReports,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame};
@@ -86,7 +86,7 @@
         let nothing = AdmitLimits {
             slots: 1,
             hold_limit: 0,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 0,
             cold_calls_per_s: 0,
             cold_ms: 0,
@@ -187,7 +187,7 @@
     }
 
     /// The target's load.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> TargetLoad {
         lock(&self.admit).figures(self.clock.now())
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// Takes the load of another target of the same service.
-    pub fn learn_peer(&self, figures: Figures) {
+    pub fn learn_peer(&self, figures: TargetLoad) {
         if let Some(reading) = figures.slowness(self.clock.now()) {
             self.admit(AdmitEvent::PeerSlowness(reading));
         }
--- a/crates/daemon/src/half/target.rs
+++ b/crates/daemon/src/half/target.rs
@@ -5,7 +5,7 @@
 
 use lynxcleat_once::OpId;
 use lynxcleat_policy::{
-    AdmitEvent, Cost, Figures, FirstReport, ReportEffect, ReportedState, TargetReport,
+    AdmitEvent, Cost, FirstReport, ReportEffect, ReportedState, TargetLoad, TargetReport,
 };
 use lynxcleat_wire::{Answer, Frame};
 
@@ -46,7 +46,7 @@
     }
 
     /// The target's load for an answer, if the measuring budget lets it ride.
-    pub(super) fn figures_to_send(&self, core: &Core) -> Option<Figures> {
+    pub(super) fn figures_to_send(&self, core: &Core) -> Option<TargetLoad> {
         let cost = Cost {
             messages: 0,
             bytes: FIGURES_BYTES as u64,
--- a/crates/daemon/src/http1/connection.rs
+++ b/crates/daemon/src/http1/connection.rs
@@ -14,7 +14,7 @@
 use futures_util::stream::FuturesUnordered;
 use hyper::body::Bytes;
 use hyper::{Method, Response, Version};
-use lynxcleat_policy::{Arrival, CallNumber, NextOut, Pipeline, PipelineLimits};
+use lynxcleat_policy::{CallNumber, Pipeline, PipelineLimits, ReadyResponse, RequestInfo};
 use thiserror::Error;
 use tokio::io::ReadBuf;
 
@@ -211,7 +211,7 @@
 
     fn stop(&mut self) {
         self.is_stopping = true;
-        self.pipeline.stop();
+        self.pipeline.begin_shutdown();
     }
 
     fn poll<S: CallerStream>(
@@ -306,7 +306,7 @@
             return Err(ConnectionError::Left(in_hand));
         }
         self.is_cut = true;
-        self.pipeline.end();
+        self.pipeline.close_input();
         Ok(())
     }
 
@@ -325,7 +325,7 @@
     }
 
     fn take_request(&mut self) -> bool {
-        if !self.pipeline.may_read(self.output.unsent()) {
+        if !self.pipeline.can_read(self.output.unsent()) {
             self.note_bound();
             return false;
         }
@@ -341,7 +341,7 @@
     }
 
     fn note_bound(&mut self) {
-        let is_at_bound = self.pipeline.is_at_bound(self.output.unsent());
+        let is_at_bound = self.pipeline.is_at_limit(self.output.unsent());
         if is_at_bound && !self.is_at_bound && self.requests.has_input() {
             self.is_at_bound = true;
             self.service.note_bound();
@@ -383,7 +383,7 @@
 
     fn arrive(&mut self, has_effects: bool, is_last: bool, form: Form) -> CallNumber {
         self.slots.push_back(Slot { form, answer: None });
-        self.pipeline.arrived(Arrival {
+        self.pipeline.on_request(RequestInfo {
             has_effects,
             is_last,
         })
@@ -461,18 +461,18 @@
         self.service.note_malformed(malformed);
         self.body = None;
         self.is_cut = true;
-        self.pipeline.end();
+        self.pipeline.close_input();
     }
 
     /// Too much of a body came after its answer: the connection ends.
     fn cut_rest(&mut self) {
         self.body = None;
         self.is_cut = true;
-        self.pipeline.end();
+        self.pipeline.close_input();
     }
 
     fn begin_waiting(&mut self) {
-        if self.waiting.is_none() || self.pipeline.begin().is_none() {
+        if self.waiting.is_none() || self.pipeline.start_next().is_none() {
             return;
         }
         let Some(Waiting { number, request }) = self.waiting.take() else {
@@ -499,7 +499,7 @@
     fn take_answer(&mut self, number: CallNumber, answer: Response<Bytes>, cx: &mut Context<'_>) {
         let bytes = answer.body().len() + ANSWER_HEAD_BYTES;
         let ends = self.leave_body(number, cx);
-        self.pipeline.answered(number, bytes, ends);
+        self.pipeline.on_response(number, bytes, ends);
         let slot = self.slots.get_mut((number.0 - self.first_slot) as usize);
         if let Some(slot) = slot {
             slot.answer = Some(answer);
@@ -530,7 +530,7 @@
     /// Encodes the answers whose turn it is. True where one went out.
     fn put_out(&mut self) -> bool {
         let mut moved = false;
-        while let Some(NextOut { closes, .. }) = self.pipeline.next_out() {
+        while let Some(ReadyResponse { closes, .. }) = self.pipeline.pop_ready() {
             self.first_slot += 1;
             let Some(slot) = self.slots.pop_front() else {
                 break;
--- a/crates/daemon/src/mesh/link.rs
+++ b/crates/daemon/src/mesh/link.rs
@@ -4,7 +4,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use lynxcleat_policy::{AttemptId, Distance, EndId, Figures, Micros, Refusal, Settlement};
+use lynxcleat_policy::{
+    AttemptId, Distance, Micros, Refusal, Settlement, TargetExitId, TargetLoad,
+};
 use lynxcleat_wire::{Answer, CallFrame, Frame, Hello, PieceFrame, Side};
 use thiserror::Error;
 use tokio::sync::watch;
@@ -37,7 +39,7 @@
         /// The answer.
         answer: Answer,
         /// Load of the target.
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
         /// Time held and served, in microseconds.
         there_us: u32,
         /// Time at usual speed, in microseconds.
@@ -48,14 +50,14 @@
         /// Why, and when to come back.
         refusal: Refusal,
         /// Load of the target.
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
     },
     /// So many bytes more of the body in pieces may be sent.
     Window(u64),
     /// The target's answer was lost.
     TargetLost {
         /// The end of the target, where that is why.
-        end: Option<EndId>,
+        end: Option<TargetExitId>,
     },
     /// The link was lost.
     LinkLost,
--- a/crates/daemon/src/ops.rs
+++ b/crates/daemon/src/ops.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread;
 
-use lynxcleat_policy::{Fingerprint, NotAFingerprint};
+use lynxcleat_policy::{Fingerprint, ParseFingerprintError};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use thiserror::Error;
@@ -44,7 +44,7 @@
     Form(#[from] serde_json::Error),
     /// It names no request.
     #[error(transparent)]
-    Request(#[from] NotAFingerprint),
+    Request(#[from] ParseFingerprintError),
 }
 
 /// What became of such an order.
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -15,8 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use lynxcleat_policy::{
-    Changed, EndId, Fingerprint, Listed, Micros, Quarantine, QuarantineLimits, RequestPrints,
-    SampleRates, Sampler, Standing, SuspectNews,
+    Changed, Fingerprint, Listed, Micros, Quarantine, QuarantineLimits, RequestFingerprints,
+    SampleRates, Sampler, Standing, SuspectNews, TargetExitId,
 };
 use lynxcleat_settings::Effective;
 use serde::{Deserialize, Serialize};
@@ -130,12 +130,12 @@
     }
 
     /// What is to be done with a request.
-    pub fn standing(&self, prints: RequestPrints) -> Standing {
+    pub fn standing(&self, prints: RequestFingerprints) -> Standing {
         lock(&self.known).standing(self.clock.now(), prints)
     }
 
     /// What is known of a request, for the half that it is sent to.
-    pub fn news_of(&self, prints: RequestPrints) -> Vec<SuspectNews> {
+    pub fn news_of(&self, prints: RequestFingerprints) -> Vec<SuspectNews> {
         lock(&self.known).news_of(self.clock.now(), prints)
     }
 
@@ -146,10 +146,16 @@
     }
 
     /// The target ended with a call in hand, which was sent to it at some time.
-    pub fn ended(&self, call: &str, end: EndId, prints: RequestPrints, sent_at: Micros) {
+    pub fn ended(
+        &self,
+        call: &str,
+        end: TargetExitId,
+        prints: RequestFingerprints,
+        sent_at: Micros,
+    ) {
         let now = self.clock.now();
         let changed = lock(&self.known).ended(now, end, prints, sent_at);
-        if !changed.is_empty() && lock(&self.lines).take(now, false) {
+        if !changed.is_empty() && lock(&self.lines).sample(now, false) {
             let request = prints.full;
             log::info!(call, end = end.0, request:%, content:% = prints.content; "request suspect");
         }
@@ -157,10 +163,10 @@
     }
 
     /// A target ran a call to its end and answered it.
-    pub fn survived(&self, call: &str, prints: RequestPrints) {
+    pub fn survived(&self, call: &str, prints: RequestFingerprints) {
         let now = self.clock.now();
         let changed = lock(&self.known).survived(now, prints);
-        if !changed.is_empty() && lock(&self.lines).take(now, false) {
+        if !changed.is_empty() && lock(&self.lines).sample(now, false) {
             log::info!(call, request:% = prints.full; "request cleared");
         }
         self.apply_changed(changed, Origin::Here);
@@ -213,7 +219,7 @@
             self.unsaved_wanted.notify_one();
         }
         let decides = !changed.quarantined.is_empty() || !changed.released.is_empty();
-        if decides || lock(&self.rates).take(self.clock.now(), false) {
+        if decides || lock(&self.rates).sample(self.clock.now(), false) {
             let news = changed.news;
             let _ = self.outgoing.send(Outgoing { news, origin });
         }
--- a/crates/daemon/src/quarantine/request.rs
+++ b/crates/daemon/src/quarantine/request.rs
@@ -3,7 +3,7 @@
 use std::sync::OnceLock;
 
 use hyper::header::HeaderName;
-use lynxcleat_policy::{EndId, Micros, RequestPrints, Standing, SuspectNews};
+use lynxcleat_policy::{Micros, RequestFingerprints, Standing, SuspectNews, TargetExitId};
 use lynxcleat_wire::{RequestHead, request_prints};
 
 use super::QuarantineState;
@@ -28,12 +28,12 @@
     /// Name of the calling organisation.
     pub organisation: Option<&'a str>,
     /// Its fingerprints once they are known.
-    pub prints: &'a OnceLock<RequestPrints>,
+    pub prints: &'a OnceLock<RequestFingerprints>,
 }
 
 impl Request<'_> {
     /// Its fingerprints.
-    pub fn prints(&self) -> RequestPrints {
+    pub fn prints(&self) -> RequestFingerprints {
         *self.prints.get_or_init(|| {
             let is_ours = |name: &str| {
                 let name = HeaderName::from_bytes(name.as_bytes());
@@ -64,7 +64,7 @@
     }
 
     /// A target ended with it in hand; it was sent there at some time.
-    pub fn ended(&self, end: EndId, sent_at: Micros) {
+    pub fn ended(&self, end: TargetExitId, sent_at: Micros) {
         let prints = self.prints();
         self.quarantine.ended(self.call, end, prints, sent_at);
     }
--- a/crates/daemon/src/route/ahead.rs
+++ b/crates/daemon/src/route/ahead.rs
@@ -43,17 +43,17 @@
         let mut window = SendWindow::default();
         let mut rest = &body[..];
         while !rest.is_empty() {
-            if window.room() == 0 {
+            if window.available() == 0 {
                 let Ok(bytes) = granted.recv_async().await else {
                     return;
                 };
                 window.grant(bytes);
                 continue;
             }
-            let room = usize::try_from(window.room()).unwrap_or(usize::MAX);
+            let room = usize::try_from(window.available()).unwrap_or(usize::MAX);
             let (bytes, after) = rest.split_at(rest.len().min(PIECE_BYTES).min(room));
             let last = after.is_empty();
-            window.send(bytes.len() as u64, last);
+            window.try_send(bytes.len() as u64, last);
             let piece = PieceFrame {
                 attempt,
                 bytes: ByteBuf::from(bytes.to_vec()),
--- a/crates/daemon/src/route/offer.rs
+++ b/crates/daemon/src/route/offer.rs
@@ -1,6 +1,6 @@
 //! Offering a call to a target's daemon, and what goes on the link for it afterwards.
 
-use lynxcleat_policy::{AttemptId, Elsewhere, Event, Figures, TargetId};
+use lynxcleat_policy::{AttemptId, Elsewhere, Event, TargetId, TargetLoad};
 use lynxcleat_wire::{BodyToCome, CallFrame, Frame, Header};
 use serde_bytes::ByteBuf;
 
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn tell_half(&self, attempt: AttemptId, figures: Option<Figures>) {
+    pub(super) fn tell_half(&self, attempt: AttemptId, figures: Option<TargetLoad>) {
         if let Some(out) = self.out(attempt) {
             self.service.tell_half(self.core, out.target, figures);
         }
--- a/crates/daemon/src/route/params.rs
+++ b/crates/daemon/src/route/params.rs
@@ -1,6 +1,8 @@
 //! A router's parameters, from the settings in force for its service.
 
-use lynxcleat_policy::{ChooseParams, FurtherParams, Policy, RetryBound, RouterParams, WayPrices};
+use lynxcleat_policy::{
+    ChooseParams, DistanceCosts, FurtherParams, Policy, RetryBound, RouterParams,
+};
 use lynxcleat_settings::Effective;
 
 /// This daemon's part of the bound that all daemons keep together. Half of the reserve
@@ -17,8 +19,8 @@
 }
 
 /// What the settings say that ways cost.
-pub fn way_prices(effective: &Effective) -> WayPrices {
-    WayPrices {
+pub fn way_prices(effective: &Effective) -> DistanceCosts {
+    DistanceCosts {
         far_percent: effective.far_price_percent,
         region_percent: effective.region_price_percent,
     }
--- a/crates/daemon/src/route/run.rs
+++ b/crates/daemon/src/route/run.rs
@@ -9,8 +9,8 @@
 
 use lynxcleat_once::Operation;
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, EndId, Event, Homes, Micros, NotRunReason, RequestPrints,
-    Source, Standing, TargetId, UnknownReason, Verdict,
+    Action, AttemptId, CallId, CallKind, Event, Homes, Micros, NotRunReason, RequestFingerprints,
+    Source, Standing, TargetExitId, TargetId, UnknownReason, Verdict,
 };
 use lynxcleat_wire::{Answer, CallingOrganisation, RequestHead};
 use serde_bytes::ByteBuf;
@@ -153,7 +153,7 @@
     pub(super) attempts: Vec<OutAttempt>,
     pub(super) answer: Option<(AttemptId, Answer)>,
     pub(super) trace: Trace,
-    pub(super) prints: OnceLock<RequestPrints>,
+    pub(super) prints: OnceLock<RequestFingerprints>,
     pub(super) finished: bool,
 }
 
@@ -405,7 +405,7 @@
     }
 
     /// Notes the request under which a target ended: it may come again under another name.
-    fn target_ended(&mut self, attempt: AttemptId, end: EndId) {
+    fn target_ended(&mut self, attempt: AttemptId, end: TargetExitId) {
         let sent_at = self.out(attempt).map(|out| out.sent_at);
         let (Some(sent_at), Some(request)) = (sent_at, self.request()) else {
             return;
--- a/crates/daemon/src/route/service.rs
+++ b/crates/daemon/src/route/service.rs
@@ -12,8 +12,8 @@
 use log::Level;
 use lynxcleat_once::Incarnation;
 use lynxcleat_policy::{
-    Action, Candidate, Considered, Cost, Distance, Event, Figures, Here, Homes, Micros, Redial,
-    RedialEvent, Router, TargetId, subset_with_homes,
+    Action, Candidate, Considered, Cost, Distance, Event, Here, Homes, Micros, Redial, RedialEvent,
+    Router, TargetId, TargetLoad, subset_with_homes,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_store::{HostEntry, HostState};
@@ -170,7 +170,7 @@
     }
 
     /// A daemon tells the load of its target.
-    pub fn load(&self, core: &Core, host: &str, figures: Figures) {
+    pub fn load(&self, core: &Core, host: &str, figures: TargetLoad) {
         let Some(target) = lock(&self.ids).get(host).copied() else {
             return;
         };
@@ -259,7 +259,7 @@
     }
 
     /// Tells the own target's half how slow another target of its service is.
-    pub fn tell_half(&self, core: &Core, target: TargetId, figures: Option<Figures>) {
+    pub fn tell_half(&self, core: &Core, target: TargetId, figures: Option<TargetLoad>) {
         let is_of_service = || self.name == core.half.service(core);
         let is_other = || {
             let peers = lock(&self.peers);
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use lynxcleat_daemon::SuspectState;
-use lynxcleat_policy::{CallKind, EndId, Homes, SeenEnd, SuspectNews};
+use lynxcleat_policy::{CallKind, Homes, SeenEnd, SuspectNews, TargetExitId};
 use lynxcleat_standin::{TargetFaults, wait_until};
 use lynxcleat_store::keys;
 use lynxcleat_wire::{CallFrame, Frame, request_prints};
@@ -349,7 +349,7 @@
     let prints = request_prints(&call.head, &call.body, None, None, is_ours);
     SuspectNews {
         ends: vec![SeenEnd {
-            end: EndId(call.attempt.0),
+            end: TargetExitId(call.attempt.0),
             rank: 1,
             sender: None,
         }],
--- a/crates/load/src/rounds.rs
+++ b/crates/load/src/rounds.rs
@@ -1,6 +1,6 @@
 //! The load cases in which policies are compared, and their figures.
 
-use lynxcleat_policy::{AdmitLimits, ChooseParams, Micros, Policy, RouterParams, WayPrices};
+use lynxcleat_policy::{AdmitLimits, ChooseParams, DistanceCosts, Micros, Policy, RouterParams};
 use serde::Serialize;
 
 use crate::service::{FakeService, FakeTarget, Measured, ServiceOptions};
@@ -213,7 +213,7 @@
         limits: AdmitLimits {
             slots: deployment.slots,
             hold_limit: 4 * deployment.slots,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 10,
             cold_calls_per_s: 0,
             cold_ms: 0,
@@ -225,7 +225,7 @@
                 ramp_us: 2 * SECOND,
                 eject_failures: 5,
                 eject_us: SECOND,
-                prices: WayPrices::default(),
+                prices: DistanceCosts::default(),
             },
             attempt_limit: 3,
             further: lynxcleat_policy::FurtherParams {
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -10,7 +10,8 @@
 
 use lynxcleat_policy::{
     Action, Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallKind, CallTerms,
-    Event, Figures, Micros, Refusal, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    DistanceCosts, Event, Micros, Refusal, Router, RouterParams, Source, TargetId, TargetLoad,
+    Verdict,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -173,7 +174,7 @@
     targets: Vec<Target>,
     callers: HashMap<(usize, CallId), Caller>,
     refusals: Vec<Refusal>,
-    figures: HashMap<u64, Figures>,
+    figures: HashMap<u64, TargetLoad>,
     next: u64,
     rng: SmallRng,
     measured: Measured,
@@ -200,7 +201,7 @@
             } else {
                 options.limits.hold_limit
             },
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 10,
             cold_calls_per_s: 0,
             cold_ms: 0,
--- a/crates/once/tests/world.rs
+++ b/crates/once/tests/world.rs
@@ -12,8 +12,8 @@
     Operation, Outcome, Recovery, RecoveryStep, RefusedOnce, Ticket,
 };
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, ChooseParams, Event, Policy, Refusal, RefusalReason, Router,
-    RouterParams, Settlement, Source, TargetId, Verdict, WayPrices,
+    Action, AttemptId, CallId, ChooseParams, DistanceCosts, Event, Policy, Refusal, RefusalReason,
+    Router, RouterParams, Settlement, Source, TargetId, Verdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -157,7 +157,7 @@
                 ramp_us: 0,
                 eject_failures: 1_000,
                 eject_us: 1,
-                prices: WayPrices::default(),
+                prices: DistanceCosts::default(),
             },
             attempt_limit: 3,
             further: lynxcleat_policy::FurtherParams {
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -6,10 +6,10 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lynxcleat_policy::{
     Action, Admit, AdmitEvent, AdmitLimits, Budget, CallId, CallKind, CallTerms, ChooseParams,
-    Cost, Event, Figures, Policy, Router, RouterParams, Source, TargetId, WayPrices,
+    Cost, DistanceCosts, Event, Policy, Router, RouterParams, Source, TargetId, TargetLoad,
 };
 
-const FIGURES: Figures = Figures {
+const FIGURES: TargetLoad = TargetLoad {
     in_flight: 5,
     held: 0,
     slots: 12,
@@ -25,7 +25,7 @@
             ramp_us: 0,
             eject_failures: 5,
             eject_us: 1_000_000,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
         },
         attempt_limit: 3,
         further: lynxcleat_policy::FurtherParams {
@@ -85,7 +85,7 @@
         let limits = AdmitLimits {
             slots: 12,
             hold_limit: 48,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 10,
             cold_calls_per_s: 0,
             cold_ms: 0,
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -9,17 +9,17 @@
 use std::collections::HashMap;
 
 use crate::admit_event::{AdmitAction, AdmitEvent, AdmitLimits, NextLook};
-use crate::begin::{Begin, Choice, Outlook};
-use crate::chance::{Need, left_us};
 use crate::cold::ColdBound;
 use crate::elsewhere::Elsewhere;
 use crate::event::{Refusal, RefusalReason};
-use crate::figures::Figures;
 use crate::hold::{CallTerms, Held, Hold};
 use crate::ids::{CallId, Micros};
 use crate::limit::LearnedLimit;
-use crate::slowness::{SlownessReading, UsualSlowness};
-use crate::spell::Spells;
+use crate::slow_period::SlowPeriodModel;
+use crate::slowness::{SlownessDistribution, SlownessReading};
+use crate::start_decision::{StartDecision, StartRequest, TargetConditions};
+use crate::target_load::TargetLoad;
+use crate::utility::{CallTiming, remaining_us};
 use crate::work::{CallKind, Works};
 
 /// Least weight of one service time in the running mean.
@@ -76,8 +76,8 @@
     works: Works,
     learned_limit: LearnedLimit,
     slowness: Option<SlownessReading>,
-    usual_slowness: UsualSlowness,
-    spells: Spells,
+    usual_slowness: SlownessDistribution,
+    spells: SlowPeriodModel,
     cold: ColdBound,
     refused: f64,
     delivered: f64,
@@ -97,8 +97,8 @@
             works: Works::default(),
             learned_limit: LearnedLimit::default(),
             slowness: None,
-            usual_slowness: UsualSlowness::default(),
-            spells: Spells::default(),
+            usual_slowness: SlownessDistribution::default(),
+            spells: SlowPeriodModel::default(),
             cold: ColdBound::default(),
             refused: 0.0,
             delivered: 0.0,
@@ -129,7 +129,7 @@
                 self.learn_slowness(now, percent);
             }
             AdmitEvent::Look => {}
-            AdmitEvent::PeerSlowness(reading) => self.usual_slowness.learn(reading),
+            AdmitEvent::PeerSlowness(reading) => self.usual_slowness.record(reading),
             AdmitEvent::Withdraw { call } => self.hold.remove(call),
             AdmitEvent::Leave => self.leaving = true,
             AdmitEvent::Return => self.leaving = false,
@@ -150,13 +150,13 @@
     }
 
     /// The load at this moment.
-    pub fn figures(&self, now: Micros) -> Figures {
+    pub fn figures(&self, now: Micros) -> TargetLoad {
         let reading = self.slowness.unwrap_or(SlownessReading {
             factor: 0.0,
             at: now,
         });
         let age_us = now.saturating_sub(reading.at);
-        Figures {
+        TargetLoad {
             in_flight: self.in_flight.len() as u32,
             held: self.hold.len() as u32,
             slots: self.at_once(now),
@@ -222,10 +222,10 @@
         };
         if has_cold_room && self.has_free_slot(now) {
             match self.begin(now, &held) {
-                Begin::Now => return Some(self.deliver(now, held)),
-                Begin::Elsewhere => return Some(self.send_on(now, &held)),
-                Begin::ComeBack => return Some(self.send_back(call)),
-                Begin::Later => {}
+                StartDecision::Now => return Some(self.deliver(now, held)),
+                StartDecision::Reroute => return Some(self.send_on(now, &held)),
+                StartDecision::Reject => return Some(self.send_back(call)),
+                StartDecision::Defer => {}
             }
         }
         if self.hold.len() >= self.limits.hold_limit as usize {
@@ -248,13 +248,13 @@
     }
 
     /// What is best for a call while a slot is free.
-    fn begin(&self, now: Micros, held: &Held) -> Begin {
+    fn begin(&self, now: Micros, held: &Held) -> StartDecision {
         let choice = self.choice(now, held.deadline, &held.terms, held.whole_us());
         let Some((outlook, choice)) = self.outlook(now).zip(choice) else {
-            return Begin::Now;
+            return StartDecision::Now;
         };
-        outlook.best(&Choice {
-            can_come_back: held.can_come_back(now),
+        outlook.decide(&StartRequest {
+            can_retry: held.can_come_back(now),
             ..choice
         })
     }
@@ -267,7 +267,7 @@
 
     /// Refuses a call so that its caller comes back when a slow spell should be over.
     fn send_back(&self, call: CallId) -> AdmitAction {
-        let wait = self.spells.slow_us() as Micros;
+        let wait = self.spells.mean_slow_us() as Micros;
         refuse(call, RefusalReason::TooLate, self.retry_after(wait))
     }
 
@@ -277,7 +277,7 @@
         let Some(outlook) = self.outlook(now) else {
             return terms.goal.is_some();
         };
-        let whole_us = left_us(now, terms.goal.unwrap_or(deadline));
+        let whole_us = remaining_us(now, terms.goal.unwrap_or(deadline));
         let terms = CallTerms {
             goal: terms.goal_of(now),
             ..*terms
@@ -286,16 +286,16 @@
             return false;
         };
         let price = f64::from(self.limits.ask_price_permille) / 1_000.0;
-        outlook.worth_of_asking(&choice) > price
+        outlook.load_query_gain(&choice) > price
     }
 
     /// What is known of the target; nothing before it told how slow it is.
-    fn outlook(&self, now: Micros) -> Option<Outlook<'_>> {
-        Some(Outlook {
+    fn outlook(&self, now: Micros) -> Option<TargetConditions<'_>> {
+        Some(TargetConditions {
             now,
             reading: self.slowness?,
-            usual: &self.usual_slowness,
-            spells: &self.spells,
+            service_slowness: &self.usual_slowness,
+            slow_periods: &self.spells,
         })
     }
 
@@ -307,17 +307,17 @@
         deadline: Micros,
         terms: &CallTerms,
         whole_us: f64,
-    ) -> Option<Choice> {
-        let need = Need {
-            goal_left_us: left_us(now, terms.goal?.min(deadline)),
-            deadline_left_us: left_us(now, deadline),
+    ) -> Option<StartRequest> {
+        let timing = CallTiming {
+            goal_remaining_us: remaining_us(now, terms.goal?.min(deadline)),
+            deadline_remaining_us: remaining_us(now, deadline),
             work: self.works.of_or_assumed(terms.kind, whole_us),
         };
-        Some(Choice {
-            need,
+        Some(StartRequest {
+            timing,
             elsewhere: terms.elsewhere,
-            prices: self.limits.prices,
-            can_come_back: false,
+            distance_costs: self.limits.prices,
+            can_retry: false,
         })
     }
 
@@ -364,7 +364,7 @@
             return Micros::from(self.service_us);
         };
         let at_once = work.mean_us * factor;
-        let after_spell = work.mean_us * self.spells.baseline() + self.spells.slow_us();
+        let after_spell = work.mean_us * self.spells.baseline() + self.spells.mean_slow_us();
         at_once.min(after_spell) as Micros
     }
 
@@ -385,7 +385,7 @@
             });
         }
         let read_at = self.slowness.map_or(now, |reading| reading.at);
-        let step_us = (self.spells.slow_us() / LOOKS_PER_SPELL) as Micros;
+        let step_us = (self.spells.mean_slow_us() / LOOKS_PER_SPELL) as Micros;
         Some(NextLook {
             at: (read_at + step_us).max(now + LOOK_LEAST_US),
             needs_reading: true,
@@ -394,7 +394,7 @@
 
     fn expected_slowness(&self, now: Micros) -> Option<f64> {
         self.slowness?;
-        let likely = self.usual_slowness.expect(now, self.slowness);
+        let likely = self.usual_slowness.predict(now, self.slowness);
         Some(
             likely
                 .map(|likely| likely.factor * likely.probability)
@@ -452,10 +452,10 @@
                 continue;
             }
             let action = match self.begin(now, &held) {
-                Begin::Later => continue,
-                Begin::Now => self.deliver(now, held),
-                Begin::Elsewhere => self.send_on(now, &held),
-                Begin::ComeBack => self.send_back(held.call),
+                StartDecision::Defer => continue,
+                StartDecision::Now => self.deliver(now, held),
+                StartDecision::Reroute => self.send_on(now, &held),
+                StartDecision::Reject => self.send_back(held.call),
             };
             self.hold.remove(held.call);
             actions.push(action);
@@ -493,8 +493,8 @@
         let factor = f64::from(percent.max(1)) / 100.0;
         let reading = SlownessReading { factor, at: now };
         self.slowness = Some(reading);
-        self.usual_slowness.learn_own(reading);
-        self.spells.learn(reading);
+        self.usual_slowness.record_own(reading);
+        self.spells.record(reading);
         factor
     }
 
--- a/crates/policy/src/admit_event.rs
+++ b/crates/policy/src/admit_event.rs
@@ -2,7 +2,7 @@
 //! and its shell share.
 
 use crate::cold::FirstReport;
-use crate::distance::WayPrices;
+use crate::distance::DistanceCosts;
 use crate::event::Refusal;
 use crate::hold::CallTerms;
 use crate::ids::{CallId, Micros};
@@ -16,7 +16,7 @@
     /// Calls held for a slot.
     pub hold_limit: u32,
     /// What the ways to other targets cost.
-    pub prices: WayPrices,
+    pub prices: DistanceCosts,
     /// Price of asking the target for its load, in thousandths of what a call is worth.
     pub ask_price_permille: u32,
     /// Calls that a cold target is given in any second at most; 0 for no bound.
--- a/crates/policy/src/body_window.rs
+++ b/crates/policy/src/body_window.rs
@@ -1,143 +1,143 @@
-//! How much of a body in pieces may be on its way: the two ends of its window.
+//! Flow-control window of a streamed body, at the sender and at the receiver.
 //!
-//! The receiver opens the window and opens it further by what it has got rid of, so
-//! neither side ever holds more of a body than its window.
+//! The receiver opens the window and extends it as it releases bytes, so that neither side
+//! ever buffers more of a body than its window.
 
 use thiserror::Error;
 
-/// Part of the window, as a divisor, that must be free again before the sender is told:
-/// one message for several pieces.
-const TELL_PART: u64 = 4;
+/// Fraction of the window, as a divisor, that must be released before the sender is granted
+/// more: one message covers several chunks.
+const GRANT_DIVISOR: u64 = 4;
 
-/// Why a piece is not taken. The body is cut then.
+/// Reason for which a chunk is refused. The body is then aborted.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-pub enum BodyFault {
-    /// More came than the window allows.
-    #[error("{0} bytes beyond the window")]
+pub enum BodyError {
+    /// The chunk exceeds the window.
+    #[error("chunk exceeds the flow-control window by {0} bytes")]
     BeyondWindow(u64),
-    /// Something came after the last piece.
-    #[error("a piece after the last one")]
+    /// The chunk follows the last one.
+    #[error("chunk received after the last chunk of the body")]
     AfterEnd,
-    /// The pieces are not together as long as was said.
-    #[error("{found} bytes where {stated} were stated")]
-    Length {
-        /// Bytes that came, with this piece.
-        found: u64,
-        /// Length that was stated.
-        stated: u64,
+    /// The body does not have its declared length.
+    #[error("body length mismatch: received {received} bytes, declared {declared}")]
+    LengthMismatch {
+        /// Bytes received, including this chunk.
+        received: u64,
+        /// Declared length.
+        declared: u64,
     },
 }
 
-/// The sender's end.
+/// The sender's side of a window.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SendWindow {
-    room: u64,
+    available: u64,
     ended: bool,
 }
 
 impl SendWindow {
-    /// The receiver opened the window by so many bytes more.
+    /// Adds bytes granted by the receiver.
     pub fn grant(&mut self, bytes: u64) {
-        self.room = self.room.saturating_add(bytes);
+        self.available = self.available.saturating_add(bytes);
     }
 
     /// Bytes that may be sent now.
-    pub fn room(&self) -> u64 {
-        if self.ended { 0 } else { self.room }
+    pub fn available(&self) -> u64 {
+        if self.ended { 0 } else { self.available }
     }
 
-    /// Takes room for a piece. False where it may not be sent.
-    pub fn send(&mut self, bytes: u64, last: bool) -> bool {
-        if self.ended || bytes > self.room {
+    /// Reserves room for a chunk. Returns false if the chunk may not be sent.
+    pub fn try_send(&mut self, bytes: u64, last: bool) -> bool {
+        if self.ended || bytes > self.available {
             return false;
         }
-        self.room -= bytes;
+        self.available -= bytes;
         self.ended = last;
         true
     }
 }
 
-/// The receiver's end.
+/// The receiver's side of a window.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReceiveWindow {
-    /// Largest number of bytes held, and bytes that the sender is told of at first.
+    /// Maximum number of bytes buffered, and the size of the first grant.
     window: u64,
-    /// Length of the body, where its sender stated it.
-    stated: Option<u64>,
+    /// Length of the body, if its sender declared one.
+    declared: Option<u64>,
     granted: u64,
-    arrived: u64,
-    taken: u64,
+    received: u64,
+    released: u64,
     ended: bool,
 }
 
 impl ReceiveWindow {
-    /// A window that is not open yet.
-    pub fn new(window: u64, stated: Option<u64>) -> Self {
+    /// Creates a window that is still closed.
+    pub fn new(window: u64, declared: Option<u64>) -> Self {
         ReceiveWindow {
             window,
-            stated,
+            declared,
             granted: 0,
-            arrived: 0,
-            taken: 0,
+            received: 0,
+            released: 0,
             ended: false,
         }
     }
 
-    /// Opens it. Returns the bytes that the sender is told of.
+    /// Opens the window. Returns the bytes to grant to the sender.
     pub fn open(&mut self) -> u64 {
         self.granted = self.window;
         self.window
     }
 
-    /// A piece arrived.
+    /// Records a chunk that arrived.
     ///
     /// # Errors
-    /// A piece that may not be taken; it changes nothing.
-    pub fn arrived(&mut self, bytes: u64, last: bool) -> Result<(), BodyFault> {
+    /// Returns an error if the chunk is not allowed; the window is then unchanged.
+    pub fn receive(&mut self, bytes: u64, last: bool) -> Result<(), BodyError> {
         if self.ended {
-            return Err(BodyFault::AfterEnd);
+            return Err(BodyError::AfterEnd);
         }
-        let found = self.arrived.saturating_add(bytes);
-        if found > self.granted {
-            return Err(BodyFault::BeyondWindow(found - self.granted));
+        let received = self.received.saturating_add(bytes);
+        if received > self.granted {
+            return Err(BodyError::BeyondWindow(received - self.granted));
         }
-        let fits = |stated: u64| {
+        let fits = |declared: u64| {
             if last {
-                found == stated
+                received == declared
             } else {
-                found <= stated
+                received <= declared
             }
         };
-        if let Some(stated) = self.stated.filter(|stated| !fits(*stated)) {
-            return Err(BodyFault::Length { found, stated });
+        if let Some(declared) = self.declared.filter(|declared| !fits(*declared)) {
+            return Err(BodyError::LengthMismatch { received, declared });
         }
-        self.arrived = found;
+        self.received = received;
         self.ended = last;
         Ok(())
     }
 
-    /// So many bytes that arrived are held no longer. Returns the bytes by which the
-    /// window is opened further, where that is worth a message.
-    pub fn taken(&mut self, bytes: u64) -> Option<u64> {
-        self.taken = self.taken.saturating_add(bytes).min(self.arrived);
-        let open_to = (self.taken + self.window).min(self.stated.unwrap_or(u64::MAX));
+    /// Records received bytes that are no longer buffered. Returns the bytes to grant to the
+    /// sender, once they are enough for a message.
+    pub fn release(&mut self, bytes: u64) -> Option<u64> {
+        self.released = self.released.saturating_add(bytes).min(self.received);
+        let open_to = (self.released + self.window).min(self.declared.unwrap_or(u64::MAX));
         let more = open_to.saturating_sub(self.granted);
-        let is_rest = self.stated == Some(open_to);
-        let is_little = more < self.window / TELL_PART && !is_rest;
-        if self.ended || more == 0 || is_little {
+        let is_rest = self.declared == Some(open_to);
+        let is_small = more < self.window / GRANT_DIVISOR && !is_rest;
+        if self.ended || more == 0 || is_small {
             return None;
         }
         self.granted += more;
         Some(more)
     }
 
-    /// Whether the last piece arrived.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the last chunk was received.
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
-    /// Bytes that arrived.
-    pub fn bytes(&self) -> u64 {
-        self.arrived
+    /// Bytes received.
+    pub fn received(&self) -> u64 {
+        self.received
     }
 }
--- a/crates/policy/src/chooser.rs
+++ b/crates/policy/src/chooser.rs
@@ -11,14 +11,14 @@
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-use crate::chance::{Need, left_us, worth};
-use crate::distance::{Distance, WayPrices};
+use crate::distance::{Distance, DistanceCosts};
 use crate::elsewhere::Elsewhere;
-use crate::figures::Figures;
 use crate::ids::{Micros, TargetId};
 use crate::policy_name::Policy;
-use crate::slowness::{LikelySlowness, UsualSlowness};
+use crate::slowness::{SlownessDistribution, WeightedSlowness};
 use crate::target::{Health, TargetState, Usual};
+use crate::target_load::TargetLoad;
+use crate::utility::{CallTiming, expected_utility, remaining_us};
 use crate::work::{CallKind, Works};
 
 /// Targets scored for one choice at most.
@@ -50,7 +50,7 @@
     /// Time of a first ejection.
     pub eject_us: Micros,
     /// What the ways to targets cost.
-    pub prices: WayPrices,
+    pub prices: DistanceCosts,
 }
 
 /// Which targets may be chosen.
@@ -115,7 +115,7 @@
     /// Targets that are ejected, so that a choice need not look for them.
     ejected: Vec<TargetId>,
     usual: Usual,
-    usual_slowness: UsualSlowness,
+    usual_slowness: SlownessDistribution,
     works: Works,
     next: usize,
     picks: u64,
@@ -137,7 +137,7 @@
             states: HashMap::new(),
             ejected: Vec::new(),
             usual: Usual::default(),
-            usual_slowness: UsualSlowness::default(),
+            usual_slowness: SlownessDistribution::default(),
             works: Works::default(),
             next: 0,
             picks: 0,
@@ -212,7 +212,7 @@
     pub fn elsewhere(&self, now: Micros, tried: &[TargetId]) -> Elsewhere {
         let all = self.order.iter();
         let open = all.filter(|target| self.is_open(now, **target, tried));
-        Elsewhere::at(open.map(|target| self.states[target].distance()).min())
+        Elsewhere::from_nearest(open.map(|target| self.states[target].distance()).min())
     }
 
     /// What is known of one target.
@@ -256,11 +256,11 @@
     }
 
     /// Takes figures of a target.
-    pub fn learn(&mut self, now: Micros, target: TargetId, figures: Figures) {
+    pub fn learn(&mut self, now: Micros, target: TargetId, figures: TargetLoad) {
         if let Some(state) = self.states.get_mut(&target) {
             state.learn(now, figures, &mut self.usual);
             if let Some(reading) = state.slowness() {
-                self.usual_slowness.learn(reading);
+                self.usual_slowness.record(reading);
             }
         }
     }
@@ -465,20 +465,20 @@
     /// are worth the same, the one with the least expected finish wins.
     fn worth(&self, now: Micros, wanted: Wanted<'_>, state: &TargetState) -> f64 {
         let finish_us = state.expected_finish_us(now, &self.usual, self.params.ramp_us);
-        let goal_left_us = left_us(now, wanted.goal);
-        let need = Need {
-            goal_left_us,
-            deadline_left_us: left_us(now, wanted.deadline),
-            work: self.works.of_or_assumed(wanted.kind, goal_left_us),
+        let goal_remaining_us = remaining_us(now, wanted.goal);
+        let need = CallTiming {
+            goal_remaining_us,
+            deadline_remaining_us: remaining_us(now, wanted.deadline),
+            work: self.works.of_or_assumed(wanted.kind, goal_remaining_us),
         };
         let prospect = state.prospect(now, &self.usual);
-        let slowness = self.usual_slowness.expect(now, state.slowness());
+        let slowness = self.usual_slowness.predict(now, state.slowness());
         let cold = state.cold(now, self.params.ramp_us);
-        let slowness = slowness.map(|likely| LikelySlowness {
+        let slowness = slowness.map(|likely| WeightedSlowness {
             factor: likely.factor * cold,
             ..likely
         });
-        let worth = worth(&need, &prospect, slowness);
-        worth - self.params.prices.of(state.distance()) - finish_us / FINISH_SCALE_US
+        let worth = expected_utility(&need, &prospect, slowness);
+        worth - self.params.prices.cost(state.distance()) - finish_us / FINISH_SCALE_US
     }
 }
--- a/crates/policy/src/distance.rs
+++ b/crates/policy/src/distance.rs
@@ -1,28 +1,28 @@
-//! How far a target is from a router, and what the way there costs.
+//! Distance between a router and a target, and its cost.
 
 use serde::{Deserialize, Serialize};
 
 use crate::subset::{Candidate, Here};
 
-/// How far it is from one host to another; the nearest first.
+/// Distance class of two hosts, nearest first.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Distance {
-    /// Within an availability zone.
+    /// The same availability zone.
     #[default]
     OwnZone,
-    /// Between the zones of a place.
+    /// Different availability zones of the same place.
     OwnPlace,
-    /// Between the places of a region.
+    /// Different places of the same region.
     OwnRegion,
-    /// Between two regions.
+    /// Different regions.
     OtherRegion,
 }
 
 impl Distance {
-    /// Its name in logs, metrics and explanations.
+    /// Name in logs, metrics and decision records.
     pub fn name(self) -> &'static str {
         match self {
             Distance::OwnZone => "own-zone",
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Whether it is within a zone.
+    /// Whether both hosts are in the same availability zone.
     pub fn is_own_zone(&self) -> bool {
         *self == Distance::OwnZone
     }
 }
 
 impl Here<'_> {
-    /// How far a target is from here.
+    /// Distance from the router to a target.
     pub fn distance(&self, candidate: &Candidate) -> Distance {
         self.distance_to(&candidate.zone, &candidate.place, &candidate.region)
     }
 
-    /// How far a host is from here that stands in this zone, place and region.
+    /// Distance from the router to a host in the given zone, place and region.
     pub fn distance_to(&self, zone: &str, place: &str, region: &str) -> Distance {
         if zone == self.zone {
             Distance::OwnZone
@@ -58,24 +58,26 @@
     }
 }
 
-/// What ways cost, in percent of what a call is worth.
+/// Cost of sending a call to a distant target, in percent of the utility of a call that
+/// meets its goal.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct WayPrices {
-    /// To another place.
+pub struct DistanceCosts {
+    /// Cost of another place.
     pub far_percent: u32,
-    /// To another region; at least as much as to another place, since it is one.
+    /// Cost of another region. Values below `far_percent` count as `far_percent`, since
+    /// another region is another place as well.
     pub region_percent: u32,
 }
 
-impl WayPrices {
-    /// No way costs anything.
-    pub const NONE: WayPrices = WayPrices {
+impl DistanceCosts {
+    /// No cost at any distance.
+    pub const NONE: DistanceCosts = DistanceCosts {
         far_percent: 0,
         region_percent: 0,
     };
 
-    /// The price of a way, as a part of a call's worth.
-    pub fn of(&self, distance: Distance) -> f64 {
+    /// Utility lost at a distance, as a fraction.
+    pub fn cost(&self, distance: Distance) -> f64 {
         let percent = match distance {
             Distance::OwnZone | Distance::OwnPlace => 0,
             Distance::OwnRegion => self.far_percent,
--- a/crates/policy/src/elsewhere.rs
+++ b/crates/policy/src/elsewhere.rs
@@ -1,30 +1,31 @@
-//! Where a call can go that the daemon of its target refuses.
+//! Where a call can be rerouted when the daemon of its target refuses it.
 
 use serde::{Deserialize, Serialize};
 
-use crate::distance::{Distance, WayPrices};
+use crate::distance::{Distance, DistanceCosts};
 
-/// Where a call can be offered if the daemon of its target refuses it.
+/// Distance class of the targets to which a refused call can be rerouted.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Elsewhere {
-    /// Nowhere.
+    /// There is no other target.
     #[default]
     #[serde(rename = "0")]
     Nowhere,
-    /// At targets of other regions only, at the price of the way.
+    /// Only targets in other regions, at the cost of that distance.
     #[serde(rename = "r")]
     OtherRegion,
-    /// At far targets only, at the price of the way; some are in the region of its router.
+    /// Only distant targets, at the cost of that distance; at least one is in the router's
+    /// own region.
     #[serde(rename = "f")]
     Far,
-    /// At a near target.
+    /// At least one target in the router's own place.
     #[serde(rename = "n")]
     Near,
 }
 
 impl Elsewhere {
-    /// Where there are targets of which the nearest is this far away.
-    pub(crate) fn at(nearest: Option<Distance>) -> Self {
+    /// Classifies the remaining targets by the distance of the nearest one.
+    pub(crate) fn from_nearest(nearest: Option<Distance>) -> Self {
         match nearest {
             None => Elsewhere::Nowhere,
             Some(Distance::OwnZone | Distance::OwnPlace) => Elsewhere::Near,
@@ -38,13 +39,12 @@
         *self == Elsewhere::Nowhere
     }
 
-    /// What the way there costs, as a part of a call's worth; nothing where there is no
-    /// way.
-    pub(crate) fn price(self, prices: WayPrices) -> Option<f64> {
+    /// Utility lost by rerouting the call; `None` where there is no other target.
+    pub(crate) fn cost(self, costs: DistanceCosts) -> Option<f64> {
         match self {
             Elsewhere::Nowhere => None,
-            Elsewhere::OtherRegion => Some(prices.of(Distance::OtherRegion)),
-            Elsewhere::Far => Some(prices.of(Distance::OwnRegion)),
+            Elsewhere::OtherRegion => Some(costs.cost(Distance::OtherRegion)),
+            Elsewhere::Far => Some(costs.cost(Distance::OwnRegion)),
             Elsewhere::Near => Some(0.0),
         }
     }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::elsewhere::Elsewhere;
-use crate::figures::Figures;
 use crate::fingerprint::Fingerprint;
 use crate::homes::Homes;
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
+use crate::target_load::TargetLoad;
 use crate::work::CallKind;
 
 /// Why a target's daemon did not run a call.
@@ -166,7 +166,7 @@
         /// How the answer came about.
         source: Source,
         /// Load of the target, where the measuring budget let it ride along.
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
         /// Time at the target's daemon, held and served.
         there_us: u32,
         /// Time that the call would have taken at usual speed, where it is known.
@@ -179,7 +179,7 @@
         /// Why, and when to come back.
         refusal: Refusal,
         /// Load of the target, where the measuring budget let it ride along.
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
     },
     /// The target's daemon delivered the call and lost the target's answer.
     TargetLost {
@@ -267,7 +267,7 @@
         /// The target.
         target: TargetId,
         /// Its load.
-        figures: Figures,
+        figures: TargetLoad,
     },
 }
 
--- a/crates/policy/src/fingerprint.rs
+++ b/crates/policy/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Names for what requests hold, so that a repeated request is known for one.
+//! Digests of request contents, by which repeated requests are recognised.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Hexadecimal digits of each of the two halves.
+/// Hexadecimal digits in each half of a fingerprint.
 const HALF_DIGITS: usize = 16;
 
-/// 128 bits of a digest: enough that two requests never share one by chance.
+/// 128 bits of a digest, which makes accidental collisions between requests negligible.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 pub struct Fingerprint(pub u64, pub u64);
 
-/// A text that is no fingerprint.
+/// Error returned when a string is not a valid fingerprint.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("{0:?} is not a fingerprint of 32 hexadecimal digits")]
-pub struct NotAFingerprint(pub String);
+#[error("invalid fingerprint {0:?}: expected 32 hexadecimal digits")]
+pub struct ParseFingerprintError(pub String);
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -27,27 +27,27 @@
 }
 
 impl FromStr for Fingerprint {
-    type Err = NotAFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, NotAFingerprint> {
-        let fault = || NotAFingerprint(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
+        let error = || ParseFingerprintError(text.to_owned());
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != 2 * HALF_DIGITS || !is_hex {
-            return Err(fault());
+            return Err(error());
         }
         let (first, second) = text.split_at(HALF_DIGITS);
-        let half = |digits| u64::from_str_radix(digits, 16).map_err(|_| fault());
+        let half = |digits| u64::from_str_radix(digits, 16).map_err(|_| error());
         Ok(Fingerprint(half(first)?, half(second)?))
     }
 }
 
-/// What one request is known by.
+/// Fingerprints of one request.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Deserialize, Serialize)]
-pub struct RequestPrints {
-    /// Its method, host, path and body.
+pub struct RequestFingerprints {
+    /// Digest of the method, host, path and body.
     #[serde(rename = "c")]
     pub content: Fingerprint,
-    /// The same with its other headers and the service that it comes from.
+    /// Digest that also covers the other headers and the calling service.
     #[serde(rename = "f")]
     pub full: Fingerprint,
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,23 +1,24 @@
-//! Names of the things that the machines speak of. The machines never look
-//! inside them; the shells decide what they stand for.
+//! Identifiers used by the state machines in this crate. They are opaque to the state
+//! machines; the code that drives them assigns their values.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since a moment that the shell fixes when it starts.
+/// Microseconds since an origin that the driving code fixes when it starts.
 pub type Micros = u64;
 
-/// One call of a caller, unique within a daemon's incarnation.
+/// A call from a caller, unique within one run of a daemon.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CallId(pub u64);
 
-/// One offer of a call to one target, unique within a daemon's incarnation.
+/// An attempt to run a call at one target, unique within one run of a daemon.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AttemptId(pub u64);
 
-/// One end of a target under calls, unique in the deployment: the shell draws it at random.
+/// An exit of a target while it was serving calls. The value is drawn at random, so that it is
+/// unique in the deployment.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct EndId(pub u64);
+pub struct TargetExitId(pub u64);
 
-/// A target as the shell numbers it.
+/// A target, numbered by the daemon.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TargetId(pub u32);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,18 +1,15 @@
-//! Pure decisions for routing, admission, retries and measuring budgets.
+//! Pure state machines for routing, admission control, retries and measurement budgets.
 //!
-//! Everything here is a plain state machine: an event and the present time go
-//! in, actions come out. There is no I/O, no clock, no thread, and randomness
-//! comes from a generator seeded by whoever builds the machine. The daemons
-//! feed these machines from sockets; a bench or a fuzzer can feed the very same
-//! code from virtual time.
+//! Each state machine takes an event and the present time, and returns actions. There is no
+//! I/O, no clock and no thread, and random numbers come from a generator that the owner
+//! seeds. Daemons drive the state machines from sockets; benchmarks and fuzz tests drive the
+//! same code in simulated time.
 
 mod admit;
 mod admit_event;
-mod begin;
-mod body_meter;
+mod body_credit;
 mod body_window;
 mod budget;
-mod chance;
 mod chooser;
 mod cold;
 mod copy_rate;
@@ -21,7 +18,6 @@
 mod evacuation;
 mod event;
 mod fair_budget;
-mod figures;
 mod fingerprint;
 mod hold;
 mod homes;
@@ -42,40 +38,40 @@
 mod sample;
 mod settings_sources;
 mod silence;
+mod slow_period;
 mod slowness;
-mod spell;
+mod start_decision;
 mod subset;
 mod target;
+mod target_load;
+mod utility;
 mod work;
 
 pub use admit::Admit;
 pub use admit_event::{AdmitAction, AdmitEvent, AdmitLimits, NextLook};
-pub use begin::{Begin, Choice, Outlook};
-pub use body_meter::BodyMeter;
-pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
+pub use body_credit::BodyCreditScheduler;
+pub use body_window::{BodyError, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
-pub use chance::Need;
 pub use chooser::{ChooseParams, Chooser, Considered};
 pub use cold::{ColdBound, FirstReport};
 pub use copy_rate::CopyRate;
-pub use distance::{Distance, WayPrices};
+pub use distance::{Distance, DistanceCosts};
 pub use elsewhere::Elsewhere;
 pub use evacuation::{Evacuations, ZoneNews};
 pub use event::{
     Action, Event, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
 };
 pub use fair_budget::FairBudget;
-pub use figures::Figures;
-pub use fingerprint::{Fingerprint, NotAFingerprint, RequestPrints};
+pub use fingerprint::{Fingerprint, ParseFingerprintError, RequestFingerprints};
 pub use hold::{CallTerms, Held, Hold};
 pub use homes::{Homes, subset_with_homes};
-pub use ids::{AttemptId, CallId, EndId, Micros, TargetId};
+pub use ids::{AttemptId, CallId, Micros, TargetExitId, TargetId};
 pub use limit::LearnedLimit;
 pub use neighbours::{
     FAR_NEIGHBOURS, NEAR_NEIGHBOURS, NeighbourOrder, REGION_NEIGHBOURS, neighbours, rank,
 };
 pub use origins::Origins;
-pub use pipeline::{Arrival, CallNumber, NextOut, Pipeline, PipelineLimits};
+pub use pipeline::{CallNumber, Pipeline, PipelineLimits, ReadyResponse, RequestInfo};
 pub use policy_name::{Policy, UnknownPolicy};
 pub use quarantine::{
     Changed, Listed, Quarantine, QuarantineLimits, SeenEnd, Standing, SuspectNews,
@@ -97,8 +93,11 @@
 pub use sample::{SampleRates, Sampler};
 pub use settings_sources::{NextSource, SettingsSource, SettingsSources};
 pub use silence::SilenceLimit;
-pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
-pub use spell::Spells;
+pub use slow_period::SlowPeriodModel;
+pub use slowness::{SlownessDistribution, SlownessReading, WeightedSlowness};
+pub use start_decision::{StartDecision, StartRequest, TargetConditions};
 pub use subset::{Candidate, Here, OTHER_REGIONS_MIN, subset};
 pub use target::{Health, TargetState, Usual};
+pub use target_load::TargetLoad;
+pub use utility::CallTiming;
 pub use work::{CallKind, Work, Works};
--- a/crates/policy/src/pipeline.rs
+++ b/crates/policy/src/pipeline.rs
@@ -1,48 +1,49 @@
-//! What one connection of a caller does next with the calls sent on it.
+//! Order of pipelined calls on one caller connection.
 //!
-//! Calls without effects run side by side. One with effects begins when all before it are
-//! answered, and nothing behind it begins before it is. Answers go out in the order of the
-//! requests. An answer that closes the connection is the last one, and no call that was
-//! begun loses its answer.
+//! Calls without side effects run concurrently. A call with side effects starts once all
+//! calls before it are answered, and no call after it starts until it is answered itself.
+//! Responses are sent in request order. A response that closes the connection is the last
+//! one, and every call that was started gets its response.
 
 use std::collections::VecDeque;
 
-/// How much one connection may have in hand.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct PipelineLimits {
-    /// Calls that were read and whose answers have not gone out; one at least.
+    /// Maximum number of calls that were read and whose responses have not been sent; at
+    /// least one is allowed.
     pub calls: usize,
-    /// Bytes of answers that wait for their turn or for the caller to take them, above
-    /// which nothing more is read.
+    /// Bytes of buffered responses at which no further request is read. Counts responses
+    /// that wait for earlier ones and those that the caller has not read yet.
     pub bytes: usize,
 }
 
-/// Number of a call on its connection, from 0, in the order of the requests.
+/// Index of a call on its connection, from 0, in request order.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallNumber(pub u64);
 
-/// A request as far as the order of the calls depends on it.
+/// Properties of a request that determine the order of calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
-    /// Whether the route in force says that the call has effects.
+pub struct RequestInfo {
+    /// Whether the route in force declares the call as having side effects.
     pub has_effects: bool,
-    /// Whether nothing behind it may be read.
+    /// Whether no further request may be read after this one.
     pub is_last: bool,
 }
 
-/// An answer whose turn it is.
+/// A response that is next in request order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct NextOut {
-    /// The call that it answers.
+pub struct ReadyResponse {
+    /// The call that is answered.
     pub call: CallNumber,
-    /// Whether the connection ends with it.
+    /// Whether the connection closes after this response.
     pub closes: bool,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
     Waiting,
-    Begun,
+    Started,
     Answered { bytes: usize },
 }
 
@@ -52,113 +53,116 @@
     stage: Stage,
 }
 
-/// The calls of one connection.
+/// Calls of one connection.
 #[derive(Debug)]
 pub struct Pipeline {
     limits: PipelineLimits,
     calls: VecDeque<Call>,
-    /// Number of the first of them.
+    /// Number of the first call in `calls`.
     first: u64,
-    held: usize,
-    /// The last request was read.
-    is_read: bool,
+    /// Bytes of responses that wait for earlier ones.
+    buffered: usize,
+    /// Whether no further request will be read.
+    input_closed: bool,
     is_stopping: bool,
     is_closed: bool,
 }
 
 impl Pipeline {
-    /// A connection on which nothing was sent.
+    /// Creates the pipeline of a new connection.
     pub fn new(limits: PipelineLimits) -> Self {
         Pipeline {
             limits,
             calls: VecDeque::new(),
             first: 0,
-            held: 0,
-            is_read: false,
+            buffered: 0,
+            input_closed: false,
             is_stopping: false,
             is_closed: false,
         }
     }
 
-    /// Whether another request may be read, with `unsent` bytes of answers that went out
-    /// and that the caller has not taken.
-    pub fn may_read(&self, unsent: usize) -> bool {
-        self.may_go_on() && !self.is_at_bound(unsent) && !self.has_waiting()
+    /// Whether another request may be read, given the `unsent` bytes of responses that left
+    /// the pipeline and that the caller has not read yet.
+    pub fn can_read(&self, unsent: usize) -> bool {
+        self.is_accepting() && !self.is_at_limit(unsent) && !self.has_waiting()
     }
 
-    /// Whether nothing is read since too much is in hand.
-    pub fn is_at_bound(&self, unsent: usize) -> bool {
-        self.calls.len() >= self.limits.calls.max(1) || self.held + unsent >= self.limits.bytes
+    /// Whether a limit keeps further requests from being read.
+    pub fn is_at_limit(&self, unsent: usize) -> bool {
+        self.calls.len() >= self.limits.calls.max(1) || self.buffered + unsent >= self.limits.bytes
     }
 
-    /// Whether nothing is in hand.
+    /// Whether no call is pending.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether a call was begun and is not answered.
+    /// Whether a call was started and is not answered yet.
     pub fn is_running(&self) -> bool {
-        self.calls.iter().any(|call| call.stage == Stage::Begun)
+        self.calls.iter().any(|call| call.stage == Stage::Started)
     }
 
-    /// Whether no answer will go out any more.
+    /// Whether no further response will be sent.
     pub fn is_closed(&self) -> bool {
-        self.is_closed || self.calls.is_empty() && self.is_read
+        self.is_closed || self.calls.is_empty() && self.input_closed
     }
 
-    /// A request was read, which `may_read` allowed.
-    pub fn arrived(&mut self, arrival: Arrival) -> CallNumber {
-        debug_assert!(self.may_go_on() && !self.has_waiting());
-        self.is_read |= arrival.is_last;
+    /// Adds a request that was read after `can_read` allowed it.
+    pub fn on_request(&mut self, request: RequestInfo) -> CallNumber {
+        debug_assert!(self.is_accepting() && !self.has_waiting());
+        self.input_closed |= request.is_last;
         self.calls.push_back(Call {
-            has_effects: arrival.has_effects,
+            has_effects: request.has_effects,
             stage: Stage::Waiting,
         });
         CallNumber(self.first + self.calls.len() as u64 - 1)
     }
 
-    /// The call to begin now, which counts as begun. Asked again after each answer.
-    pub fn begin(&mut self) -> Option<CallNumber> {
+    /// Returns the call to start now and marks it as started. To be called again after each
+    /// response.
+    pub fn start_next(&mut self) -> Option<CallNumber> {
         let (waiting, before) = self.calls.make_contiguous().split_last_mut()?;
         let is_free = before.iter().all(|call| match call.stage {
             Stage::Answered { .. } => true,
-            Stage::Waiting | Stage::Begun => !waiting.has_effects && !call.has_effects,
+            Stage::Waiting | Stage::Started => !waiting.has_effects && !call.has_effects,
         });
         if waiting.stage != Stage::Waiting || !is_free {
             return None;
         }
-        waiting.stage = Stage::Begun;
+        waiting.stage = Stage::Started;
         Some(CallNumber(self.first + before.len() as u64))
     }
 
-    /// A call that was begun has its answer. With `ends`, nothing behind it can be read, as
-    /// its body was not.
-    pub fn answered(&mut self, number: CallNumber, bytes: usize, ends: bool) {
-        self.is_read |= ends;
-        let nth = number.0.checked_sub(self.first);
-        let call = nth.and_then(|nth| self.calls.get_mut(nth as usize));
-        if let Some(call) = call.filter(|call| call.stage == Stage::Begun) {
+    /// Records the response of a started call. With `ends_input`, no further request can be
+    /// read, since the body of this one was not.
+    pub fn on_response(&mut self, number: CallNumber, bytes: usize, ends_input: bool) {
+        self.input_closed |= ends_input;
+        let index = number.0.checked_sub(self.first);
+        let call = index.and_then(|index| self.calls.get_mut(index as usize));
+        if let Some(call) = call.filter(|call| call.stage == Stage::Started) {
             call.stage = Stage::Answered { bytes };
-            self.held += bytes;
+            self.buffered += bytes;
         }
     }
 
-    /// A stop begins: nothing begins any more beside or behind a call that was begun, and
-    /// the answer of the last one closes. With none in hand one more is taken.
-    pub fn stop(&mut self) {
+    /// Begins a graceful shutdown: no call starts any more beside or after one that was
+    /// started, and the last response closes the connection. If no call is pending, one
+    /// more request is accepted.
+    pub fn begin_shutdown(&mut self) {
         self.is_stopping = true;
         if self.calls.len() > 1 {
             self.drop_waiting();
         }
     }
 
-    /// Nothing more is read; what was is answered.
-    pub fn end(&mut self) {
-        self.is_read = true;
+    /// Stops reading requests. Those already read are still answered.
+    pub fn close_input(&mut self) {
+        self.input_closed = true;
     }
 
-    /// The answer that goes out now, if its call is answered; it counts as gone out.
-    pub fn next_out(&mut self) -> Option<NextOut> {
+    /// Removes and returns the response to be sent now, if the first call is answered.
+    pub fn pop_ready(&mut self) -> Option<ReadyResponse> {
         let Some(Call {
             stage: Stage::Answered { bytes },
             ..
@@ -166,20 +170,20 @@
         else {
             return None;
         };
-        self.held -= bytes;
+        self.buffered -= bytes;
         self.calls.pop_front();
         let call = CallNumber(self.first);
         self.first += 1;
         if self.is_stopping {
             self.drop_waiting();
         }
-        let closes = self.calls.is_empty() && (self.is_stopping || self.is_read);
+        let closes = self.calls.is_empty() && (self.is_stopping || self.input_closed);
         self.is_closed |= closes;
-        Some(NextOut { call, closes })
+        Some(ReadyResponse { call, closes })
     }
 
-    fn may_go_on(&self) -> bool {
-        let is_ending = self.is_read || self.is_closed;
+    fn is_accepting(&self) -> bool {
+        let is_ending = self.input_closed || self.is_closed;
         !is_ending && (!self.is_stopping || self.calls.is_empty())
     }
 
@@ -188,7 +192,7 @@
         last.is_some_and(|call| call.stage == Stage::Waiting)
     }
 
-    /// A request that was read and not begun counts as not read.
+    /// Discards a request that was read and not started, as if it had not been read.
     fn drop_waiting(&mut self) {
         if self.has_waiting() {
             self.calls.pop_back();
--- a/crates/policy/src/policy_name.rs
+++ b/crates/policy/src/policy_name.rs
@@ -1,30 +1,30 @@
-//! The ways in which a target can be chosen, by name.
+//! Load-balancing policies and their names in the settings.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How a target is chosen.
+/// Load-balancing policy.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The greatest chance to be back within the call's goal, less the price of the
-    /// way.
+    /// The target with the greatest probability of meeting the call's goal, less the cost
+    /// of its distance.
     GoalChance,
-    /// The least expected finish time.
+    /// The target with the earliest expected finish time.
     ExpectedFinish,
-    /// The fewer outstanding of two drawn at random.
+    /// The target with fewer outstanding calls of two picked at random.
     PowerOfTwo,
-    /// The fewest outstanding of all.
+    /// The target with the fewest outstanding calls.
     LeastInFlight,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// Any.
+    /// A target picked at random.
     Random,
 }
 
-/// A policy name that is not known.
+/// Error returned for an unknown policy name.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("{0:?} is not a policy")]
+#[error("unknown load-balancing policy {0:?}")]
 pub struct UnknownPolicy(pub String);
 
 impl std::str::FromStr for Policy {
--- a/crates/policy/src/quarantine/entry.rs
+++ b/crates/policy/src/quarantine/entry.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
-use crate::ids::{EndId, Micros};
+use crate::ids::{Micros, TargetExitId};
 
 /// Ends remembered of one suspect, those with the highest rank: as many as the highest limit
 /// and the most chances that are allowed for.
@@ -21,7 +21,7 @@
 pub struct SeenEnd {
     /// The end.
     #[serde(rename = "e")]
-    pub end: EndId,
+    pub end: TargetExitId,
     /// Its place in a row of ends: 1, or one more than the rank of an end that was known
     /// where the request was sent when it was sent.
     #[serde(rename = "r")]
@@ -42,10 +42,10 @@
     pub ends: Vec<SeenEnd>,
     /// Ends that count no more, since a target served it afterwards.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub survived: Vec<EndId>,
+    pub survived: Vec<TargetExitId>,
     /// Ends that count no more, since an operator says so.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub lifted: Vec<EndId>,
+    pub lifted: Vec<TargetExitId>,
     /// Time since the last end, in milliseconds.
     #[serde(rename = "a", default)]
     pub age_ms: u64,
@@ -76,9 +76,9 @@
     /// Ends that count.
     ends: Vec<KnownEnd>,
     /// Ends that count no more, oldest first: a target served the request afterwards.
-    survived: Vec<EndId>,
+    survived: Vec<TargetExitId>,
     /// The same, since an operator said so.
-    lifted: Vec<EndId>,
+    lifted: Vec<TargetExitId>,
     /// When the last end was, or since when there is none.
     last_at: Micros,
     /// Age of the last end when the daemon's clock began, where it is older than that.
@@ -126,8 +126,8 @@
     }
 
     /// Ends that count, each once.
-    pub(super) fn live_ends(&self) -> Vec<EndId> {
-        let mut ends: Vec<EndId> = self.ends.iter().map(|known| known.seen.end).collect();
+    pub(super) fn live_ends(&self) -> Vec<TargetExitId> {
+        let mut ends: Vec<TargetExitId> = self.ends.iter().map(|known| known.seen.end).collect();
         ends.sort_unstable();
         ends.dedup();
         ends
@@ -213,7 +213,7 @@
 }
 
 /// Adds an end to those that count no more. Returns whether that is news.
-fn excuse(excused: &mut Vec<EndId>, end: EndId) -> bool {
+fn excuse(excused: &mut Vec<TargetExitId>, end: TargetExitId) -> bool {
     if excused.contains(&end) {
         return false;
     }
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -20,8 +20,8 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-use crate::fingerprint::{Fingerprint, RequestPrints};
-use crate::ids::{EndId, Micros};
+use crate::fingerprint::{Fingerprint, RequestFingerprints};
+use crate::ids::{Micros, TargetExitId};
 
 use entry::Entry;
 pub use entry::{SeenEnd, SuspectNews};
@@ -117,7 +117,7 @@
     }
 
     /// What is to be done with a request.
-    pub fn standing(&self, now: Micros, prints: RequestPrints) -> Standing {
+    pub fn standing(&self, now: Micros, prints: RequestFingerprints) -> Standing {
         let full = self.entries.get(&prints.full);
         let content = self.entries.get(&prints.content);
         let known = || [full, content].into_iter().flatten();
@@ -133,8 +133,8 @@
     pub fn ended(
         &mut self,
         now: Micros,
-        end: EndId,
-        prints: RequestPrints,
+        end: TargetExitId,
+        prints: RequestFingerprints,
         sent_at: Micros,
     ) -> Changed {
         if self.limits.crash_limit == 0 {
@@ -156,7 +156,7 @@
 
     /// A target ran a request to its end. What is known against it counts no more; what is
     /// known against the same content from other senders stands by itself.
-    pub fn survived(&mut self, now: Micros, prints: RequestPrints) -> Changed {
+    pub fn survived(&mut self, now: Micros, prints: RequestFingerprints) -> Changed {
         let prints = [prints.full, prints.content];
         let news = prints.iter().filter_map(|print| {
             let survived = self.live_ends(*print)?;
@@ -181,7 +181,7 @@
     }
 
     /// Ends that count against a fingerprint; nothing where none does.
-    fn live_ends(&self, print: Fingerprint) -> Option<Vec<EndId>> {
+    fn live_ends(&self, print: Fingerprint) -> Option<Vec<TargetExitId>> {
         let entry = self.entries.get(&print)?;
         entry.is_suspect().then(|| entry.live_ends())
     }
@@ -218,7 +218,7 @@
     }
 
     /// What is known of one request.
-    pub fn news_of(&self, now: Micros, prints: RequestPrints) -> Vec<SuspectNews> {
+    pub fn news_of(&self, now: Micros, prints: RequestFingerprints) -> Vec<SuspectNews> {
         let prints = [prints.full, prints.content];
         let known = |print: &Fingerprint| Some(self.entries.get(print)?.news(now, *print));
         prints.iter().filter_map(known).collect()
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -15,13 +15,13 @@
 use crate::distance::Distance;
 use crate::elsewhere::Elsewhere;
 use crate::event::{Action, Event, NotRunReason, UnknownReason, Verdict};
-use crate::figures::Figures;
 use crate::fingerprint::Fingerprint;
 use crate::homes::{BoundCalls, Homes};
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
 use crate::retry::{FurtherAttempts, FurtherParams};
 use crate::rollout::{RolloutLanes, RolloutTargets};
 use crate::target::TargetState;
+use crate::target_load::TargetLoad;
 use crate::work::CallKind;
 
 use own_failures::OwnFailures;
@@ -552,7 +552,7 @@
         Some((attempt, ended.target))
     }
 
-    fn learn(&mut self, now: Micros, target: TargetId, figures: Option<Figures>) {
+    fn learn(&mut self, now: Micros, target: TargetId, figures: Option<TargetLoad>) {
         if let Some(figures) = figures {
             self.chooser.learn(now, target, figures);
         }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -3,10 +3,10 @@
 use crate::event::{
     Action, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
 };
-use crate::figures::Figures;
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
 use crate::router::{Attempt, Router};
 use crate::target::TargetState;
+use crate::target_load::TargetLoad;
 
 impl Router {
     pub(super) fn answered(
@@ -14,7 +14,7 @@
         now: Micros,
         attempt: AttemptId,
         source: Source,
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
         there_us: u32,
     ) -> Vec<Action> {
         let Some(ended) = self.end(attempt) else {
@@ -101,7 +101,7 @@
         now: Micros,
         attempt: AttemptId,
         refusal: Refusal,
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
     ) -> Vec<Action> {
         let Some(ended) = self.end(attempt) else {
             return Vec::new();
--- a/crates/policy/src/sample.rs
+++ b/crates/policy/src/sample.rs
@@ -1,53 +1,53 @@
-//! Which decisions are written to the log: failures before successes, and no more lines
-//! a second than allowed.
+//! Rate-limited sampling of events, such as decisions for the log. Failures take precedence
+//! over successes, and the total per second is bounded.
 
 use crate::ids::Micros;
 
 const SECOND_US: Micros = 1_000_000;
 
-/// How much is written.
+/// Limits of a sampler.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SampleRates {
-    /// Lines a second at most.
+    /// Maximum number of events per second.
     pub lines_per_s: u32,
-    /// Of these, lines about successes.
+    /// Maximum number of successes per second, counted towards `lines_per_s`.
     pub successes_per_s: u32,
-    /// One of so many successes is written.
+    /// One in this many successes is sampled.
     pub success_every: u32,
 }
 
-/// Picks the decisions that are written.
+/// Selects the events to be written.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     rates: SampleRates,
     second: u64,
     lines: u32,
     successes: u32,
-    seen: u64,
-    dropped: u64,
+    successes_seen: u64,
+    dropped_failures: u64,
 }
 
 impl Sampler {
-    /// A sampler that has seen nothing.
+    /// Creates a sampler with the given limits.
     pub fn new(rates: SampleRates) -> Self {
         Sampler {
             rates,
             second: 0,
             lines: 0,
             successes: 0,
-            seen: 0,
-            dropped: 0,
+            successes_seen: 0,
+            dropped_failures: 0,
         }
     }
 
-    /// Whether a decision is written.
-    pub fn take(&mut self, now: Micros, success: bool) -> bool {
-        self.roll(now);
-        if success && !self.takes_success() {
+    /// Whether to write an event that occurs now.
+    pub fn sample(&mut self, now: Micros, success: bool) -> bool {
+        self.start_second(now);
+        if success && !self.sample_success() {
             return false;
         }
         if self.lines >= self.rates.lines_per_s {
-            self.dropped += 1;
+            self.dropped_failures += 1;
             return false;
         }
         self.lines += 1;
@@ -55,20 +55,21 @@
         true
     }
 
-    /// Failures that were not written, since the sampler was made.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    /// Number of failures dropped over the rate limit since the sampler was created.
+    pub fn dropped_failures(&self) -> u64 {
+        self.dropped_failures
     }
 
-    fn takes_success(&mut self) -> bool {
-        self.seen += 1;
+    fn sample_success(&mut self) -> bool {
+        self.successes_seen += 1;
         let every = u64::from(self.rates.success_every.max(1));
-        let sampled = self.seen.is_multiple_of(every);
-        let room = self.lines < self.rates.lines_per_s;
-        sampled && room && self.successes < self.rates.successes_per_s
+        let sampled = self.successes_seen.is_multiple_of(every);
+        let within_limit = self.lines < self.rates.lines_per_s;
+        sampled && within_limit && self.successes < self.rates.successes_per_s
     }
 
-    fn roll(&mut self, now: Micros) {
+    /// Resets the counts when a new second begins.
+    fn start_second(&mut self, now: Micros) {
         let second = now / SECOND_US;
         if second != self.second {
             self.second = second;
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -3,11 +3,11 @@
 //! A figure is exact when it is taken and wrong a moment later, so trust in it
 //! halves with its age. Errors and refusals never make a target look better.
 
-use crate::chance::Prospect;
 use crate::distance::Distance;
-use crate::figures::Figures;
 use crate::ids::Micros;
 use crate::slowness::SlownessReading;
+use crate::target_load::TargetLoad;
+use crate::utility::TargetEstimate;
 
 /// Age at which half of a load figure is still believed, in service times: calls
 /// come and go within one.
@@ -95,7 +95,7 @@
 
 impl Usual {
     /// Takes a target's figures into account. `others` of its calls are not ours.
-    fn learn(&mut self, figures: Figures, others: f64) {
+    fn learn(&mut self, figures: TargetLoad, others: f64) {
         let near = |mean: &mut f64, sample: f64| *mean += USUAL_WEIGHT * (sample - *mean);
         near(&mut self.others, others);
         self.slots = f64::from(figures.slots.max(1));
@@ -295,9 +295,9 @@
     }
 
     /// Takes figures from the target's daemon.
-    pub fn learn(&mut self, now: Micros, figures: Figures, usual: &mut Usual) {
-        let ours = self.outstanding.min(figures.load());
-        let others = f64::from(figures.load() - ours);
+    pub fn learn(&mut self, now: Micros, figures: TargetLoad, usual: &mut Usual) {
+        let ours = self.outstanding.min(figures.total_calls());
+        let others = f64::from(figures.total_calls() - ours);
         usual.learn(figures, others);
         self.figures = Some(Known {
             others,
@@ -370,14 +370,14 @@
     }
 
     /// What a call sent now would find there.
-    pub fn prospect(&self, now: Micros, usual: &Usual) -> Prospect {
+    pub fn prospect(&self, now: Micros, usual: &Usual) -> TargetEstimate {
         let known_slots = self.figures.map(|known| f64::from(known.slots));
         let slots = known_slots.unwrap_or(usual.slots);
         let queued = (self.load(now, usual) + 1.0 - slots).max(0.0);
-        Prospect {
+        TargetEstimate {
             path_us: self.path_us(now),
             wait_us: queued * usual.service_us / slots,
-            closed_us: self.refused_until.saturating_sub(now) as f64,
+            unavailable_us: self.refused_until.saturating_sub(now) as f64,
         }
     }
 
--- a/crates/policy/src/figures.rs
+++ b/crates/policy/src/target_load.rs
@@ -1,41 +1,40 @@
-//! What a target's daemon knows exactly about its target at one moment. The
-//! figures ride on answers, so they are as fresh as the last answer.
+//! Load of a target, as its own daemon reports it. Reports are piggybacked on responses, so
+//! they are as recent as the last response.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::Micros;
 use crate::slowness::SlownessReading;
 
-/// A target's load as its own daemon counts it.
+/// A target's load at one moment, counted by its own daemon.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Figures {
+pub struct TargetLoad {
     /// Calls being served.
     #[serde(rename = "i")]
     pub in_flight: u32,
-    /// Calls held for a slot.
+    /// Calls queued for a slot.
     #[serde(rename = "h")]
     pub held: u32,
-    /// Calls the target serves at once.
+    /// Calls that the target serves concurrently.
     #[serde(rename = "s")]
     pub slots: u32,
-    /// Recent service time in microseconds; 0 while none is known.
+    /// Recent service time in microseconds; 0 if unknown.
     #[serde(rename = "u")]
     pub service_us: u32,
-    /// How long work takes at the target now, in percent of what is usual there; 0
-    /// while it is not known.
+    /// Present service time in percent of the target's usual one; 0 if unknown.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
     pub slowness_percent: u32,
-    /// Age of that in milliseconds.
+    /// Age of `slowness_percent` in milliseconds.
     #[serde(rename = "y", default, skip_serializing_if = "is_zero")]
     pub slowness_age_ms: u32,
 }
 
-fn is_zero(figure: &u32) -> bool {
-    *figure == 0
+fn is_zero(value: &u32) -> bool {
+    *value == 0
 }
 
-impl Figures {
-    /// The reading of slowness that the figures hold, where they hold one.
+impl TargetLoad {
+    /// Returns the slowness reading, if the report has one.
     pub fn slowness(&self, now: Micros) -> Option<SlownessReading> {
         (self.slowness_percent > 0).then(|| SlownessReading {
             factor: f64::from(self.slowness_percent) / 100.0,
@@ -43,8 +42,8 @@
         })
     }
 
-    /// Calls at the target, served and held.
-    pub fn load(&self) -> u32 {
+    /// Calls at the target, served and queued.
+    pub fn total_calls(&self) -> u32 {
         self.in_flight + self.held
     }
 }
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallTerms, RefusalReason, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallTerms, DistanceCosts, RefusalReason,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -11,7 +11,7 @@
 const LIMITS: AdmitLimits = AdmitLimits {
     slots: 2,
     hold_limit: 3,
-    prices: WayPrices::NONE,
+    prices: DistanceCosts::NONE,
     ask_price_permille: 10,
     cold_calls_per_s: 0,
     cold_ms: 0,
--- a/crates/policy/tests/asking.rs
+++ b/crates/policy/tests/asking.rs
@@ -1,14 +1,14 @@
 //! When a target is asked for its load before a call is offered to it.
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, Elsewhere,
-    SlownessReading, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, DistanceCosts,
+    Elsewhere, SlownessReading,
 };
 use rstest::rstest;
 
 const MS: u64 = 1_000;
 /// Ways to other places have a price.
-const PRICES: WayPrices = WayPrices {
+const PRICES: DistanceCosts = DistanceCosts {
     far_percent: 20,
     region_percent: 20,
 };
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -1,8 +1,8 @@
 //! Cold targets: in no second more calls than they bear, and room for nested ones.
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallTerms, ColdBound, Elsewhere,
-    FirstReport, RefusalReason, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallTerms, ColdBound, DistanceCosts,
+    Elsewhere, FirstReport, RefusalReason,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -170,7 +170,7 @@
     let mut admit = Admit::new(AdmitLimits {
         slots: 100,
         hold_limit: 10,
-        prices: WayPrices::default(),
+        prices: DistanceCosts::default(),
         ask_price_permille: 10,
         cold_calls_per_s: BOUND,
         cold_ms: 0,
@@ -180,7 +180,7 @@
         AdmitEvent::SetLimits(AdmitLimits {
             slots: 100,
             hold_limit: 10,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 10,
             cold_calls_per_s: BOUND,
             cold_ms: 0,
--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -1,12 +1,12 @@
 //! The first calls, before any answer told what calls take.
 
 use lynxcleat_policy::{
-    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, WayPrices,
+    Admit, AdmitAction, AdmitEvent, AdmitLimits, CallId, CallKind, CallTerms, DistanceCosts,
 };
 
 const MS: u64 = 1_000;
 /// Ways to other places have a price.
-const PRICES: WayPrices = WayPrices {
+const PRICES: DistanceCosts = DistanceCosts {
     far_percent: 20,
     region_percent: 20,
 };
--- a/crates/policy/tests/goals/admission.rs
+++ b/crates/policy/tests/goals/admission.rs
@@ -6,12 +6,12 @@
 };
 use rstest::rstest;
 
-use super::{MS, PRICES, terms};
+use super::{COSTS, MS, terms};
 
 const LIMITS: AdmitLimits = AdmitLimits {
     slots: 4,
     hold_limit: 8,
-    prices: PRICES,
+    prices: COSTS,
     ask_price_permille: 10,
     cold_calls_per_s: 0,
     cold_ms: 0,
--- a/crates/policy/tests/goals/choice.rs
+++ b/crates/policy/tests/goals/choice.rs
@@ -1,11 +1,11 @@
-//! Which target a router chooses.
+//! Selection of a target by a router.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, ChooseParams, Distance, Elsewhere, Event, Figures, Policy,
-    RefusalReason, Router, RouterParams, Source, TargetId,
+    Action, AttemptId, CallId, ChooseParams, Distance, Elsewhere, Event, Policy, RefusalReason,
+    Router, RouterParams, Source, TargetId, TargetLoad,
 };
 
-use super::{FAR, KIND, MS, NEAR, PRICES};
+use super::{COSTS, FAR, KIND, MS, NEAR};
 
 fn params() -> RouterParams {
     RouterParams {
@@ -14,7 +14,7 @@
             ramp_us: 0,
             eject_failures: 5,
             eject_us: 1_000 * MS,
-            prices: PRICES,
+            prices: COSTS,
         },
         attempt_limit: 2,
         further: lynxcleat_policy::FurtherParams {
@@ -25,19 +25,19 @@
     }
 }
 
-/// A router with one near and one far target, which knows that calls take 100 ms.
+/// A router with one near and one far target that has observed service times of 100 ms.
 fn router() -> Router {
     let mut router = Router::new(params(), 7, 1);
     router.set_targets(0, &[(NEAR, 300.0), (FAR, 2_000.0)]);
     router.set_distances(&[(FAR, Distance::OwnRegion)]);
     for nth in 0..40 {
-        let (attempt, _) = sent(&arrive(&mut router, nth, 0, 400 * MS));
+        let (attempt, _) = single_send(&on_arrival(&mut router, nth, 0, 400 * MS));
         router.on(100 * MS, answered(attempt, 100));
     }
     router
 }
 
-fn arrive(router: &mut Router, call: u64, now: u64, goal: u64) -> Vec<Action> {
+fn on_arrival(router: &mut Router, call: u64, now: u64, goal: u64) -> Vec<Action> {
     let event = Event::Arrived {
         call: CallId(call),
         deadline: now + 1_000 * MS,
@@ -50,7 +50,7 @@
     router.on(now, event)
 }
 
-fn sent(actions: &[Action]) -> (AttemptId, TargetId) {
+fn single_send(actions: &[Action]) -> (AttemptId, TargetId) {
     match actions {
         [
             Action::Send {
@@ -71,10 +71,10 @@
     }
 }
 
-fn told(target: TargetId, slowness_percent: u32, in_flight: u32) -> Event {
+fn load_report(target: TargetId, slowness_percent: u32, in_flight: u32) -> Event {
     Event::FiguresSeen {
         target,
-        figures: Figures {
+        figures: TargetLoad {
             in_flight,
             held: 0,
             slots: 8,
@@ -86,37 +86,50 @@
 }
 
 #[test]
-fn the_near_target_serves_while_it_is_likely_to_make_the_goal() {
+fn the_near_target_is_chosen_while_it_is_likely_to_meet_the_goal() {
     let mut router = router();
-    router.on(100 * MS, told(NEAR, 100, 0));
-    router.on(100 * MS, told(FAR, 100, 0));
-    assert_eq!(sent(&arrive(&mut router, 100, 100 * MS, 400 * MS)).1, NEAR);
+    router.on(100 * MS, load_report(NEAR, 100, 0));
+    router.on(100 * MS, load_report(FAR, 100, 0));
+    assert_eq!(
+        single_send(&on_arrival(&mut router, 100, 100 * MS, 400 * MS)).1,
+        NEAR
+    );
 }
 
 #[test]
-fn a_slow_near_target_loses_its_calls_to_a_far_one_and_gets_them_back() {
+fn calls_move_to_a_far_target_while_the_near_one_is_slow() {
     let mut router = router();
     let now = 100 * MS;
-    router.on(now, told(NEAR, 600, 0));
-    router.on(now, told(FAR, 100, 0));
-    assert_eq!(sent(&arrive(&mut router, 100, now, 400 * MS)).1, FAR);
+    router.on(now, load_report(NEAR, 600, 0));
+    router.on(now, load_report(FAR, 100, 0));
+    assert_eq!(
+        single_send(&on_arrival(&mut router, 100, now, 400 * MS)).1,
+        FAR
+    );
     let later = now + 10 * MS;
-    router.on(later, told(NEAR, 100, 0));
-    assert_eq!(sent(&arrive(&mut router, 101, later, 400 * MS)).1, NEAR);
+    router.on(later, load_report(NEAR, 100, 0));
+    assert_eq!(
+        single_send(&on_arrival(&mut router, 101, later, 400 * MS)).1,
+        NEAR
+    );
 }
 
 #[test]
-fn a_goal_that_a_slow_target_makes_all_the_same_is_not_worth_the_way() {
+fn calls_stay_at_a_slow_near_target_that_still_meets_the_goal() {
     let mut router = router();
     let now = 100 * MS;
-    router.on(now, told(NEAR, 200, 0));
-    router.on(now, told(FAR, 100, 0));
-    assert_eq!(sent(&arrive(&mut router, 100, now, 900 * MS)).1, NEAR);
+    router.on(now, load_report(NEAR, 200, 0));
+    router.on(now, load_report(FAR, 100, 0));
+    assert_eq!(
+        single_send(&on_arrival(&mut router, 100, now, 900 * MS)).1,
+        NEAR
+    );
 }
 
-/// Routers that hear the same would otherwise all send to the one target that told last.
+/// Guards against herding: routers with the same load reports would all choose the target
+/// that reported last if only the single best target were eligible.
 #[test]
-fn routers_that_know_the_same_spread_over_targets_of_nearly_the_same_worth() {
+fn routers_with_equal_knowledge_spread_over_targets_of_similar_utility() {
     let targets: Vec<TargetId> = (0..8).map(TargetId).collect();
     let mut chosen = std::collections::BTreeSet::new();
     for seed in 0..40 {
@@ -124,25 +137,25 @@
         let paths: Vec<_> = targets.iter().map(|target| (*target, 300.0)).collect();
         router.set_targets(0, &paths);
         for nth in 0..40 {
-            let (attempt, _) = sent(&arrive(&mut router, nth, 0, 400 * MS));
+            let (attempt, _) = single_send(&on_arrival(&mut router, nth, 0, 400 * MS));
             router.on(0, answered(attempt, 100));
         }
         for (nth, target) in targets.iter().enumerate() {
             let slowness_percent = if nth < 4 { 100 } else { 500 };
             let now = (100 + nth as u64) * MS;
-            router.on(now, told(*target, slowness_percent, 0));
+            router.on(now, load_report(*target, slowness_percent, 0));
         }
-        chosen.insert(sent(&arrive(&mut router, 100, 110 * MS, 400 * MS)).1);
+        chosen.insert(single_send(&on_arrival(&mut router, 100, 110 * MS, 400 * MS)).1);
     }
     let fast: Vec<_> = targets[..4].to_vec();
     assert_eq!(chosen.into_iter().collect::<Vec<_>>(), fast);
 }
 
 #[test]
-fn a_refusal_by_a_daemon_costs_no_attempt_and_no_budget() {
+fn a_refusal_by_a_daemon_uses_no_attempt_and_no_retry_budget() {
     let mut router = router();
     for nth in 100..400 {
-        let (first, at) = sent(&arrive(&mut router, nth, 200 * MS, 400 * MS));
+        let (first, refusing) = single_send(&on_arrival(&mut router, nth, 200 * MS, 400 * MS));
         let refused = Event::Refused {
             attempt: first,
             refusal: lynxcleat_policy::Refusal {
@@ -151,28 +164,28 @@
             },
             figures: None,
         };
-        let (second, other) = sent(&router.on(200 * MS, refused));
-        assert_ne!(at, other);
+        let (second, other) = single_send(&router.on(200 * MS, refused));
+        assert_ne!(refusing, other);
         router.on(200 * MS, answered(second, 100));
     }
     assert_eq!(router.counts().retries, 0);
 }
 
 #[test]
-fn a_call_may_move_until_its_offers_elsewhere_are_used_up() {
+fn a_call_is_rerouted_up_to_the_reroute_limit() {
     let mut router = Router::new(params(), 7, 1);
     let paths: Vec<_> = (0..8).map(|nth| (TargetId(nth), 300.0)).collect();
     router.set_targets(0, &paths);
-    let mut actions = arrive(&mut router, 1, 0, 400 * MS);
-    let mut ways = Vec::new();
+    let mut actions = on_arrival(&mut router, 1, 0, 400 * MS);
+    let mut observed = Vec::new();
     while let [
         Action::Send {
             attempt, elsewhere, ..
         },
     ] = actions[..]
-        && ways.len() < 4
+        && observed.len() < 4
     {
-        ways.push(elsewhere);
+        observed.push(elsewhere);
         let refused = Event::Refused {
             attempt,
             refusal: lynxcleat_policy::Refusal {
@@ -184,15 +197,15 @@
         actions = router.on(0, refused);
     }
     let near = Elsewhere::Near;
-    assert_eq!(ways, [near, near, near, Elsewhere::Nowhere]);
+    assert_eq!(observed, [near, near, near, Elsewhere::Nowhere]);
 }
 
-/// The way to a far target has a price; a target that cannot make the goal refuses the
-/// call whether it may move or not.
+/// The target needs this to weigh the cost of the distance; one that cannot meet the goal
+/// refuses the call whether or not it can be rerouted.
 #[test]
-fn a_router_says_that_only_far_targets_are_left() {
+fn a_router_reports_that_only_far_targets_are_left() {
     let mut router = router();
-    let actions = arrive(&mut router, 1, 0, 400 * MS);
+    let actions = on_arrival(&mut router, 1, 0, 400 * MS);
     assert!(matches!(
         actions[..],
         [Action::Send {
--- a/crates/policy/tests/goals/main.rs
+++ b/crates/policy/tests/goals/main.rs
@@ -1,13 +1,13 @@
-//! Goals, slowness and ranks: what is chosen, held and refused.
+//! Target selection and admission by latency goal, slowness and priority.
 
 mod admission;
 mod choice;
 
-use lynxcleat_policy::{CallKind, CallTerms, TargetId, WayPrices};
+use lynxcleat_policy::{CallKind, CallTerms, DistanceCosts, TargetId};
 
 const MS: u64 = 1_000;
-/// Ways to other places have a price.
-const PRICES: WayPrices = WayPrices {
+/// Other places and regions have a cost.
+const COSTS: DistanceCosts = DistanceCosts {
     far_percent: 20,
     region_percent: 90,
 };
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, Candidate, ChooseParams, Elsewhere, Event, FurtherParams,
-    Here, Homes, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement,
-    Source, TargetId, Verdict, WayPrices, subset, subset_with_homes,
+    Action, AttemptId, CallId, CallKind, Candidate, ChooseParams, DistanceCosts, Elsewhere, Event,
+    FurtherParams, Here, Homes, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams,
+    Settlement, Source, TargetId, Verdict, subset, subset_with_homes,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -20,7 +20,7 @@
             ramp_us: 0,
             eject_failures: 2,
             eject_us: 1_000,
-            prices: WayPrices {
+            prices: DistanceCosts {
                 far_percent: 10,
                 region_percent: 10,
             },
--- a/crates/policy/tests/pipeline.rs
+++ b/crates/policy/tests/pipeline.rs
@@ -1,161 +1,181 @@
-//! What a connection does with pipelined calls.
+//! Order of pipelined calls on one connection.
 
-use lynxcleat_policy::{Arrival, CallNumber, NextOut, Pipeline, PipelineLimits};
+use lynxcleat_policy::{CallNumber, Pipeline, PipelineLimits, ReadyResponse, RequestInfo};
 use proptest::prelude::*;
 
 const LIMITS: PipelineLimits = PipelineLimits {
     calls: 4,
     bytes: 100,
 };
-const LOOKUP: Arrival = Arrival {
+const LOOKUP: RequestInfo = RequestInfo {
     has_effects: false,
     is_last: false,
 };
-const EFFECT: Arrival = Arrival {
+const EFFECT: RequestInfo = RequestInfo {
     has_effects: true,
     is_last: false,
 };
 
-fn out(call: CallNumber, closes: bool) -> Option<NextOut> {
-    Some(NextOut { call, closes })
+fn ready(call: CallNumber, closes: bool) -> Option<ReadyResponse> {
+    Some(ReadyResponse { call, closes })
 }
 
 #[test]
-fn lookups_run_side_by_side_and_go_out_in_order() {
+fn lookups_run_concurrently_and_are_answered_in_order() {
     let mut pipeline = Pipeline::new(LIMITS);
-    let first = pipeline.arrived(LOOKUP);
-    assert_eq!(pipeline.begin(), Some(first));
-    let second = pipeline.arrived(LOOKUP);
-    assert_eq!(pipeline.begin(), Some(second), "beside the first");
-    pipeline.answered(second, 10, false);
-    assert_eq!(pipeline.next_out(), None, "the first goes before it");
-    pipeline.answered(first, 10, false);
-    assert_eq!(pipeline.next_out(), out(first, false));
-    assert_eq!(pipeline.next_out(), out(second, false));
+    let first = pipeline.on_request(LOOKUP);
+    assert_eq!(pipeline.start_next(), Some(first));
+    let second = pipeline.on_request(LOOKUP);
+    assert_eq!(
+        pipeline.start_next(),
+        Some(second),
+        "runs concurrently with the first"
+    );
+    pipeline.on_response(second, 10, false);
+    assert_eq!(
+        pipeline.pop_ready(),
+        None,
+        "the first response must be sent before it"
+    );
+    pipeline.on_response(first, 10, false);
+    assert_eq!(pipeline.pop_ready(), ready(first, false));
+    assert_eq!(pipeline.pop_ready(), ready(second, false));
 }
 
 #[test]
-fn a_call_with_effects_runs_alone() {
+fn a_call_with_side_effects_runs_alone() {
     let mut pipeline = Pipeline::new(LIMITS);
-    let lookup = pipeline.arrived(LOOKUP);
-    pipeline.begin();
-    let effect = pipeline.arrived(EFFECT);
-    assert_eq!(pipeline.begin(), None, "a call before it runs");
-    assert!(!pipeline.may_read(0), "one at most waits");
-    pipeline.answered(lookup, 0, false);
-    assert_eq!(pipeline.begin(), Some(effect));
-    let behind = pipeline.arrived(LOOKUP);
-    assert_eq!(pipeline.begin(), None, "a call with effects runs before it");
-    pipeline.answered(effect, 0, false);
-    assert_eq!(pipeline.begin(), Some(behind));
+    let lookup = pipeline.on_request(LOOKUP);
+    pipeline.start_next();
+    let effect = pipeline.on_request(EFFECT);
+    assert_eq!(pipeline.start_next(), None, "an earlier call is running");
+    assert!(!pipeline.can_read(0), "at most one request may wait");
+    pipeline.on_response(lookup, 0, false);
+    assert_eq!(pipeline.start_next(), Some(effect));
+    let next = pipeline.on_request(LOOKUP);
+    assert_eq!(
+        pipeline.start_next(),
+        None,
+        "an earlier call with side effects is running"
+    );
+    pipeline.on_response(effect, 0, false);
+    assert_eq!(pipeline.start_next(), Some(next));
 }
 
 #[test]
-fn nothing_is_read_above_the_bounds() {
+fn no_request_is_read_at_the_limits() {
     let mut pipeline = Pipeline::new(LIMITS);
     let calls: Vec<CallNumber> = (0..4)
         .map(|_| {
-            assert!(pipeline.may_read(0));
-            let call = pipeline.arrived(LOOKUP);
-            pipeline.begin();
+            assert!(pipeline.can_read(0));
+            let call = pipeline.on_request(LOOKUP);
+            pipeline.start_next();
             call
         })
         .collect();
-    assert!(!pipeline.may_read(0), "as many calls as may be in hand");
-    pipeline.answered(calls[0], 0, false);
-    pipeline.next_out();
-    assert!(pipeline.may_read(0));
-    assert!(!pipeline.may_read(100), "the caller does not take answers");
-    pipeline.answered(calls[2], 100, false);
-    assert!(!pipeline.may_read(0), "as many bytes as may be held");
+    assert!(!pipeline.can_read(0), "at the limit of pending calls");
+    pipeline.on_response(calls[0], 0, false);
+    pipeline.pop_ready();
+    assert!(pipeline.can_read(0));
+    assert!(
+        !pipeline.can_read(100),
+        "the caller has not read its responses"
+    );
+    pipeline.on_response(calls[2], 100, false);
+    assert!(!pipeline.can_read(0), "at the limit of buffered bytes");
 }
 
 #[test]
-fn the_last_answer_of_those_begun_closes_when_a_stop_begins() {
+fn the_last_started_call_closes_the_connection_on_shutdown() {
     let mut pipeline = Pipeline::new(LIMITS);
-    let first = pipeline.arrived(LOOKUP);
-    pipeline.begin();
-    let second = pipeline.arrived(LOOKUP);
-    pipeline.begin();
-    pipeline.arrived(EFFECT);
-    pipeline.stop();
-    assert_eq!(pipeline.begin(), None, "it counts as not read");
-    assert!(!pipeline.may_read(0));
-    pipeline.answered(first, 0, false);
-    pipeline.answered(second, 0, false);
-    assert_eq!(pipeline.next_out(), out(first, false));
-    assert_eq!(pipeline.next_out(), out(second, true));
+    let first = pipeline.on_request(LOOKUP);
+    pipeline.start_next();
+    let second = pipeline.on_request(LOOKUP);
+    pipeline.start_next();
+    pipeline.on_request(EFFECT);
+    pipeline.begin_shutdown();
+    assert_eq!(
+        pipeline.start_next(),
+        None,
+        "the waiting request is discarded"
+    );
+    assert!(!pipeline.can_read(0));
+    pipeline.on_response(first, 0, false);
+    pipeline.on_response(second, 0, false);
+    assert_eq!(pipeline.pop_ready(), ready(first, false));
+    assert_eq!(pipeline.pop_ready(), ready(second, true));
     assert!(pipeline.is_closed());
 }
 
 #[test]
-fn a_stop_takes_one_more_request_where_none_is_in_hand() {
+fn an_idle_connection_accepts_one_more_request_on_shutdown() {
     let mut pipeline = Pipeline::new(LIMITS);
-    pipeline.stop();
-    assert!(pipeline.may_read(0));
-    let only = pipeline.arrived(EFFECT);
-    assert!(!pipeline.may_read(0));
-    assert_eq!(pipeline.begin(), Some(only));
-    pipeline.answered(only, 0, false);
-    assert_eq!(pipeline.next_out(), out(only, true));
+    pipeline.begin_shutdown();
+    assert!(pipeline.can_read(0));
+    let only = pipeline.on_request(EFFECT);
+    assert!(!pipeline.can_read(0));
+    assert_eq!(pipeline.start_next(), Some(only));
+    pipeline.on_response(only, 0, false);
+    assert_eq!(pipeline.pop_ready(), ready(only, true));
 }
 
 #[test]
-fn a_last_request_waits_for_its_turn_and_closes() {
+fn a_last_request_runs_in_order_and_closes_the_connection() {
     let mut pipeline = Pipeline::new(LIMITS);
-    let lookup = pipeline.arrived(LOOKUP);
-    pipeline.begin();
-    let last = pipeline.arrived(Arrival {
+    let lookup = pipeline.on_request(LOOKUP);
+    pipeline.start_next();
+    let last = pipeline.on_request(RequestInfo {
         is_last: true,
         ..EFFECT
     });
-    pipeline.answered(lookup, 0, false);
-    assert_eq!(pipeline.next_out(), out(lookup, false));
-    assert_eq!(pipeline.begin(), Some(last));
-    pipeline.answered(last, 0, false);
-    assert_eq!(pipeline.next_out(), out(last, true));
+    pipeline.on_response(lookup, 0, false);
+    assert_eq!(pipeline.pop_ready(), ready(lookup, false));
+    assert_eq!(pipeline.start_next(), Some(last));
+    pipeline.on_response(last, 0, false);
+    assert_eq!(pipeline.pop_ready(), ready(last, true));
 }
 
-/// What may happen to a connection; numbers choose among what is in hand.
+/// An event on a connection. `which` selects one of the running calls.
 #[derive(Clone, Debug)]
 enum Step {
     Read { has_effects: bool, is_last: bool },
     Answer { which: usize, bytes: usize },
-    Out,
-    Stop,
+    Send,
+    Shutdown,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (any::<bool>(), prop::bool::weighted(0.05)).prop_map(|(has_effects, is_last)| Step::Read { has_effects, is_last }),
         8 => (any::<usize>(), 0..60_usize).prop_map(|(which, bytes)| Step::Answer { which, bytes }),
-        4 => Just(Step::Out),
-        1 => Just(Step::Stop),
+        4 => Just(Step::Send),
+        1 => Just(Step::Shutdown),
     ]
 }
 
-/// What a test knows of the calls that were read.
+/// State of the calls that were read, as the test observed it.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     effects: Vec<bool>,
-    begun: Vec<usize>,
+    started: Vec<usize>,
     answered: Vec<usize>,
-    out: Vec<usize>,
+    sent: Vec<usize>,
 }
 
-impl Seen {
-    fn begin_all(&mut self, pipeline: &mut Pipeline) {
-        while let Some(CallNumber(number)) = pipeline.begin() {
+impl Observed {
+    fn start_all(&mut self, pipeline: &mut Pipeline) {
+        while let Some(CallNumber(number)) = pipeline.start_next() {
             let number = number as usize;
-            let runs = |other: &usize| self.begun.contains(other) && !self.answered.contains(other);
+            let runs =
+                |other: &usize| self.started.contains(other) && !self.answered.contains(other);
             for other in (0..number).filter(runs) {
                 assert!(
                     !self.effects[other] && !self.effects[number],
-                    "side by side"
+                    "a call with side effects ran concurrently with another"
                 );
             }
-            assert_eq!(number, self.begun.len(), "begun in order");
-            self.begun.push(number);
+            assert_eq!(number, self.started.len(), "started in order");
+            self.started.push(number);
         }
     }
 }
@@ -164,44 +184,44 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(2_000) })]
 
     #[test]
-    fn order_effects_bounds_and_the_last_answer_hold(steps in prop::collection::vec(step(), 1..80)) {
+    fn ordering_and_limits_hold_for_any_event_sequence(steps in prop::collection::vec(step(), 1..80)) {
         let mut pipeline = Pipeline::new(LIMITS);
-        let mut seen = Seen::default();
+        let mut observed = Observed::default();
         let mut closed = false;
         for step in steps {
             match step {
                 Step::Read { has_effects, is_last } => {
-                    if pipeline.may_read(0) {
-                        assert!(!closed, "nothing is read behind the last answer");
-                        pipeline.arrived(Arrival { has_effects, is_last });
-                        seen.effects.push(has_effects);
-                        seen.begin_all(&mut pipeline);
+                    if pipeline.can_read(0) {
+                        assert!(!closed, "no request is read after the last response");
+                        pipeline.on_request(RequestInfo { has_effects, is_last });
+                        observed.effects.push(has_effects);
+                        observed.start_all(&mut pipeline);
                     }
                 }
                 Step::Answer { which, bytes } => {
-                    let running: Vec<usize> = seen.begun.iter().copied().filter(|call| !seen.answered.contains(call)).collect();
+                    let running: Vec<usize> = observed.started.iter().copied().filter(|call| !observed.answered.contains(call)).collect();
                     if !running.is_empty() {
                         let call = running[which % running.len()];
-                        pipeline.answered(CallNumber(call as u64), bytes, false);
-                        seen.answered.push(call);
-                        seen.begin_all(&mut pipeline);
+                        pipeline.on_response(CallNumber(call as u64), bytes, false);
+                        observed.answered.push(call);
+                        observed.start_all(&mut pipeline);
                     }
                 }
-                Step::Out => {
-                    if let Some(next) = pipeline.next_out() {
-                        assert!(!closed, "one answer closes, and it is the last");
-                        assert_eq!(next.call.0 as usize, seen.out.len(), "in order");
-                        seen.out.push(next.call.0 as usize);
+                Step::Send => {
+                    if let Some(next) = pipeline.pop_ready() {
+                        assert!(!closed, "no response is sent after the one that closes");
+                        assert_eq!(next.call.0 as usize, observed.sent.len(), "responses are sent in order");
+                        observed.sent.push(next.call.0 as usize);
                         closed = next.closes;
                         if closed {
-                            assert_eq!(seen.begun.len(), seen.out.len(), "all that was begun is answered");
+                            assert_eq!(observed.started.len(), observed.sent.len(), "every started call is answered");
                         }
-                        seen.begin_all(&mut pipeline);
+                        observed.start_all(&mut pipeline);
                     }
                 }
-                Step::Stop => pipeline.stop(),
+                Step::Shutdown => pipeline.begin_shutdown(),
             }
-            assert!(seen.begun.len() - seen.out.len() <= LIMITS.calls);
+            assert!(observed.started.len() - observed.sent.len() <= LIMITS.calls);
         }
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,8 +1,8 @@
 //! Requests under which targets end, as daemons learn of them in any order.
 
 use lynxcleat_policy::{
-    EndId, Fingerprint, Micros, Quarantine, QuarantineLimits, RequestPrints, SeenEnd, Standing,
-    SuspectNews,
+    Fingerprint, Micros, Quarantine, QuarantineLimits, RequestFingerprints, SeenEnd, Standing,
+    SuspectNews, TargetExitId,
 };
 use proptest::prelude::*;
 
@@ -11,11 +11,11 @@
     crash_limit: 3,
     quarantine_us: 600 * SECOND,
 };
-const BAD: RequestPrints = request(1, 10);
-const OTHER_CALLER: RequestPrints = request(1, 11);
+const BAD: RequestFingerprints = request(1, 10);
+const OTHER_CALLER: RequestFingerprints = request(1, 11);
 
-const fn request(content: u64, full: u64) -> RequestPrints {
-    RequestPrints {
+const fn request(content: u64, full: u64) -> RequestFingerprints {
+    RequestFingerprints {
         content: Fingerprint(content, 0),
         full: Fingerprint(full, 0),
     }
@@ -26,14 +26,14 @@
 }
 
 /// Ends targets in a row under a request, each sent after the end before was known.
-fn end_in_row(known: &mut Quarantine, from: Micros, request: RequestPrints, ends: &[u64]) {
+fn end_in_row(known: &mut Quarantine, from: Micros, request: RequestFingerprints, ends: &[u64]) {
     for (nth, end) in ends.iter().enumerate() {
         let at = from + nth as Micros * SECOND;
-        known.ended(at, EndId(*end), request, at - SECOND / 2);
+        known.ended(at, TargetExitId(*end), request, at - SECOND / 2);
     }
 }
 
-fn is_quarantined(known: &Quarantine, now: Micros, request: RequestPrints) -> bool {
+fn is_quarantined(known: &Quarantine, now: Micros, request: RequestFingerprints) -> bool {
     matches!(known.standing(now, request), Standing::Quarantined { .. })
 }
 
@@ -43,7 +43,7 @@
     assert!(known.is_empty());
     end_in_row(&mut known, SECOND, BAD, &[1, 2]);
     assert_eq!(known.standing(3 * SECOND, BAD), Standing::Suspect);
-    let changed = known.ended(3 * SECOND, EndId(3), BAD, 2 * SECOND);
+    let changed = known.ended(3 * SECOND, TargetExitId(3), BAD, 2 * SECOND);
     assert_eq!(changed.quarantined, [BAD.full]);
     let left_us = 600 * SECOND;
     assert_eq!(
@@ -57,7 +57,7 @@
 fn targets_that_fall_together_quarantine_nothing() {
     let mut known = daemon();
     for end in 1..=8 {
-        known.ended(5 * SECOND + end, EndId(end), BAD, 4 * SECOND);
+        known.ended(5 * SECOND + end, TargetExitId(end), BAD, 4 * SECOND);
     }
     assert_eq!(known.standing(6 * SECOND, BAD), Standing::Suspect);
     // Told by others, they are no more than that either.
@@ -86,7 +86,7 @@
     known.survived(3 * SECOND, BAD);
     end_in_row(&mut known, 4 * SECOND, BAD, &[3, 4, 5, 6]);
     assert_eq!(known.standing(8 * SECOND, BAD), Standing::Suspect);
-    known.ended(9 * SECOND, EndId(7), BAD, 8 * SECOND);
+    known.ended(9 * SECOND, TargetExitId(7), BAD, 8 * SECOND);
     // And is refused for no longer than any other.
     let left_us = LIMITS.quarantine_us;
     let standing = known.standing(9 * SECOND, BAD);
@@ -120,7 +120,7 @@
     end_in_row(&mut known, SECOND, BAD, &[1, 2, 3]);
     assert!(is_quarantined(&known, 4 * SECOND, BAD));
     assert_eq!(known.standing(4 * SECOND, OTHER_CALLER), Standing::Suspect);
-    known.ended(5 * SECOND, EndId(4), OTHER_CALLER, 4 * SECOND);
+    known.ended(5 * SECOND, TargetExitId(4), OTHER_CALLER, 4 * SECOND);
     assert!(is_quarantined(&known, 5 * SECOND, OTHER_CALLER));
     // Whoever sends it.
     assert!(is_quarantined(&known, 5 * SECOND, request(1, 12)));
@@ -142,7 +142,7 @@
     let over = 3 * SECOND + LIMITS.quarantine_us;
     assert!(is_quarantined(&known, over - 1, BAD));
     assert_eq!(known.standing(over, BAD), Standing::Suspect);
-    known.ended(over + SECOND, EndId(4), BAD, over);
+    known.ended(over + SECOND, TargetExitId(4), BAD, over);
     let left_us = 2 * LIMITS.quarantine_us;
     let standing = known.standing(over + SECOND, BAD);
     assert_eq!(standing, Standing::Quarantined { left_us });
@@ -169,7 +169,7 @@
     assert!(!is_quarantined(&known, 4 * SECOND, BAD));
     assert!(
         known
-            .ended(5 * SECOND, EndId(9), BAD, 4 * SECOND)
+            .ended(5 * SECOND, TargetExitId(9), BAD, 4 * SECOND)
             .is_empty()
     );
     // What others tell before settings are in force is kept.
@@ -204,7 +204,7 @@
     for other in 0..5_000 {
         let now = 10 * SECOND + other;
         let chance = request(100_000 + other, 200_000 + other);
-        known.ended(now, EndId(1_000 + other), chance, now - 1);
+        known.ended(now, TargetExitId(1_000 + other), chance, now - 1);
     }
     assert!(known.all(20 * SECOND).len() <= 256);
     assert!(is_quarantined(&known, 20 * SECOND, BAD));
@@ -215,7 +215,7 @@
     let told = SuspectNews {
         ends: (1..=3)
             .map(|rank| SeenEnd {
-                end: EndId(rank.into()),
+                end: TargetExitId(rank.into()),
                 rank,
                 sender: None,
             })
@@ -260,7 +260,7 @@
             let now = (nth as Micros + 1) * SECOND / 4;
             match *event {
                 Seen::Ended { end, caller, sent } => {
-                    let end = EndId(end + 10 * caller);
+                    let end = TargetExitId(end + 10 * caller);
                     daemons[*at].ended(now, end, request(1, 10 + caller), sent);
                 }
                 Seen::Survived { caller } => {
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Action, CallId, CallKind, Candidate, ChooseParams, Distance, Elsewhere, Event, FAR_NEIGHBOURS,
-    Figures, FurtherParams, Here, NEAR_NEIGHBOURS, Policy, REGION_NEIGHBOURS, Router, RouterParams,
-    TargetId, WayPrices, neighbours, subset,
+    Action, CallId, CallKind, Candidate, ChooseParams, Distance, DistanceCosts, Elsewhere, Event,
+    FAR_NEIGHBOURS, FurtherParams, Here, NEAR_NEIGHBOURS, Policy, REGION_NEIGHBOURS, Router,
+    RouterParams, TargetId, TargetLoad, neighbours, subset,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -181,7 +181,7 @@
             ramp_us: 0,
             eject_failures: 5,
             eject_us: 1_000 * MS,
-            prices: WayPrices {
+            prices: DistanceCosts {
                 far_percent: 20,
                 region_percent: 40,
             },
@@ -222,12 +222,12 @@
 ];
 
 fn tell(router: &mut Router, now: u64, target: TargetId, load: u32) {
-    let figures = Figures {
+    let figures = TargetLoad {
         in_flight: load.min(SLOTS),
         held: load.saturating_sub(SLOTS),
         slots: SLOTS,
         service_us: 100 * MS as u32,
-        ..Figures::default()
+        ..TargetLoad::default()
     };
     router.on(now, Event::FiguresSeen { target, figures });
 }
@@ -323,12 +323,12 @@
 
 #[test]
 fn another_region_costs_more_than_another_place() {
-    let prices = WayPrices {
+    let prices = DistanceCosts {
         far_percent: 20,
         region_percent: 60,
     };
-    assert_eq!(prices.of(Distance::OwnRegion), 0.2);
-    assert_eq!(prices.of(Distance::OtherRegion), 0.6);
+    assert_eq!(prices.cost(Distance::OwnRegion), 0.2);
+    assert_eq!(prices.cost(Distance::OtherRegion), 0.6);
 }
 
 /// Only what a call may reach is chosen, and offered as another way.
@@ -355,11 +355,11 @@
 /// A way to another region is one to another place as well.
 #[test]
 fn another_region_costs_no_less_than_another_place() {
-    let prices = WayPrices {
+    let prices = DistanceCosts {
         far_percent: 30,
         region_percent: 0,
     };
-    assert_eq!(prices.of(Distance::OwnPlace), 0.0);
-    assert_eq!(prices.of(Distance::OwnRegion), 0.3);
-    assert_eq!(prices.of(Distance::OtherRegion), 0.3);
+    assert_eq!(prices.cost(Distance::OwnPlace), 0.0);
+    assert_eq!(prices.cost(Distance::OwnRegion), 0.3);
+    assert_eq!(prices.cost(Distance::OtherRegion), 0.3);
 }
--- a/crates/policy/tests/rollout/offering.rs
+++ b/crates/policy/tests/rollout/offering.rs
@@ -16,7 +16,7 @@
             ramp_us: 0,
             eject_failures: 100,
             eject_us: SECOND,
-            prices: lynxcleat_policy::WayPrices::NONE,
+            prices: lynxcleat_policy::DistanceCosts::NONE,
         },
         attempt_limit: 2,
         further: FurtherParams {
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,9 +1,9 @@
 //! The router's decisions, as a table of what happens and what is done.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, Candidate, ChooseParams, Event, Figures, Fingerprint, Health, Here,
-    NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement, Source,
-    TargetId, UnknownReason, Verdict, WayPrices, subset,
+    Action, AttemptId, CallId, Candidate, ChooseParams, DistanceCosts, Event, Fingerprint, Health,
+    Here, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement, Source,
+    TargetId, TargetLoad, UnknownReason, Verdict, subset,
 };
 use rstest::rstest;
 
@@ -26,7 +26,7 @@
             ramp_us: 0,
             eject_failures: 3,
             eject_us: 100_000,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
         },
         attempt_limit: 3,
         further: lynxcleat_policy::FurtherParams {
@@ -322,7 +322,7 @@
     let mut router = router(2);
     let figures = |target, in_flight, service_us| Event::FiguresSeen {
         target: TargetId(target),
-        figures: Figures {
+        figures: TargetLoad {
             in_flight,
             held: 0,
             slots: 4,
--- a/crates/policy/tests/targets_down.rs
+++ b/crates/policy/tests/targets_down.rs
@@ -1,8 +1,8 @@
 //! Calls whose target is down go on to those that are up.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, Event, FurtherParams, Health, NotRunReason,
-    Policy, Refusal, RefusalReason, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    Action, AttemptId, CallId, CallKind, ChooseParams, DistanceCosts, Event, FurtherParams, Health,
+    NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Source, TargetId, Verdict,
 };
 
 const EJECT_US: u64 = 1_000_000;
@@ -16,7 +16,7 @@
             ramp_us: 0,
             eject_failures: 3,
             eject_us: EJECT_US,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
         },
         attempt_limit: 2,
         further: FurtherParams {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,8 +2,8 @@
 
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
-    AttemptId, CallKind, Elsewhere, EndId, Figures, HalfEvidence, Homes, NotRunReason, Refusal,
-    RolloutNews, SuspectNews, ZoneNews,
+    AttemptId, CallKind, Elsewhere, HalfEvidence, Homes, NotRunReason, Refusal, RolloutNews,
+    SuspectNews, TargetExitId, TargetLoad, ZoneNews,
 };
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -324,7 +324,7 @@
     /// A piece of a call's body.
     Piece(PieceFrame),
     /// The load of the acceptor's target, which changed.
-    Load(Figures),
+    Load(TargetLoad),
     /// A call is no longer wanted.
     Cancel(AttemptId),
     /// The target's answer.
@@ -337,7 +337,7 @@
         answer: Answer,
         /// Load of the target, where the measuring budget allowed it.
         #[serde(rename = "l")]
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
         /// Time held and served, in microseconds.
         #[serde(rename = "t")]
         there_us: u32,
@@ -355,7 +355,7 @@
         refusal: Refusal,
         /// Load of the target, where the measuring budget allowed it.
         #[serde(rename = "l")]
-        figures: Option<Figures>,
+        figures: Option<TargetLoad>,
     },
     /// The call was delivered and its answer was lost.
     Lost(AttemptId),
@@ -366,7 +366,7 @@
         attempt: AttemptId,
         /// The same for all calls that were in hand.
         #[serde(rename = "e")]
-        end: EndId,
+        end: TargetExitId,
     },
     /// Fence an operation at the acceptor's target.
     Fence {
--- a/crates/wire/src/prints.rs
+++ b/crates/wire/src/prints.rs
@@ -1,6 +1,6 @@
 //! The fingerprints of a request, which are the same at every daemon that has it in hand.
 
-use lynxcleat_policy::{Fingerprint, RequestPrints};
+use lynxcleat_policy::{Fingerprint, RequestFingerprints};
 use sha2::{Digest, Sha256};
 
 use crate::frame::{Header, RequestHead};
@@ -18,7 +18,7 @@
     caller_service: Option<&str>,
     organisation: Option<&str>,
     is_ours: impl Fn(&str) -> bool,
-) -> RequestPrints {
+) -> RequestFingerprints {
     let mut digest = Sha256::new();
     put(&mut digest, head.method.as_bytes());
     for Header(_, host) in head.headers.iter().filter(|header| is_host(header)) {
@@ -34,7 +34,7 @@
     }
     put(&mut digest, caller_service.unwrap_or_default().as_bytes());
     put(&mut digest, organisation.unwrap_or_default().as_bytes());
-    RequestPrints {
+    RequestFingerprints {
         content,
         full: finish(digest),
     }
--- a/crates/wire/tests/mesh.rs
+++ b/crates/wire/tests/mesh.rs
@@ -1,7 +1,7 @@
 //! Messages read back, malformed ones are refused, and keys are proved.
 
 use lynxcleat_once::Incarnation;
-use lynxcleat_policy::{AttemptId, Figures};
+use lynxcleat_policy::{AttemptId, TargetLoad};
 use lynxcleat_wire::{
     Answer, CodecError, Envelope, Frame, Header, Hello, HelloError, PROTOCOL_VERSION, PieceFrame,
     RowFrame, RowsFrame, SharedKey, Side, decode, encode,
@@ -39,7 +39,7 @@
                 headers: vec![Header("a".to_owned(), vec![0xff, 0].into())],
                 body: vec![1, 2, 3].into(),
             },
-            figures: Some(Figures {
+            figures: Some(TargetLoad {
                 in_flight: 3,
                 held: 1,
                 slots: 12,
--- a/crates/wire/tests/prints.rs
+++ b/crates/wire/tests/prints.rs
@@ -1,6 +1,6 @@
 //! What makes two requests the same, and what does not.
 
-use lynxcleat_policy::{Fingerprint, RequestPrints};
+use lynxcleat_policy::{Fingerprint, RequestFingerprints};
 use lynxcleat_wire::{Header, RequestHead, request_prints};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
@@ -16,14 +16,14 @@
     }
 }
 
-fn prints(head: &RequestHead, body: &str, service: &str) -> RequestPrints {
+fn prints(head: &RequestHead, body: &str, service: &str) -> RequestFingerprints {
     let is_ours = |name: &str| name.starts_with("lynxcleat-");
     request_prints(head, body.as_bytes(), Some(service), None, is_ours)
 }
 
 const HEADERS: &[(&str, &str)] = &[("host", "stock"), ("authorization", "a")];
 
-fn usual() -> RequestPrints {
+fn usual() -> RequestFingerprints {
     prints(&head("GET", "/items/1", HEADERS), "body", "shop")
 }
 
