--- a/crates/daemon/src/half/state.rs
+++ b/crates/daemon/src/half/state.rs
@@ -8,8 +8,8 @@
 use lynxcleat_once::{Fence, FenceLimits, FenceReply, Operation};
 use lynxcleat_policy::{
     AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, AttemptId,
-    CallAttributes, CallId, CallOrigins, Figures, Micros, NextRecheck, Refusal, ReportEffect,
-    TargetReports, WayPrices,
+    CallAttributes, CallId, CallOrigins, DistanceCosts, Micros, NextRecheck, Refusal, ReportEffect,
+    TargetLoad, TargetReports,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_wire::{Answer, CallFrame};
@@ -87,7 +87,7 @@
         let nothing = AdmissionLimits {
             slots: 1,
             hold_limit: 0,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 0,
             cold_calls_per_s: 0,
             cold_ms: 0,
@@ -188,7 +188,7 @@
     }
 
     /// The target's load.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> TargetLoad {
         lock(&self.admit).figures(self.clock.now())
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Takes the load of another target of the same service.
-    pub fn learn_peer(&self, figures: Figures) {
+    pub fn learn_peer(&self, figures: TargetLoad) {
         if let Some(reading) = figures.slowness(self.clock.now()) {
             self.admit(AdmissionEvent::PeerSlowness(reading));
         }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -10,18 +10,18 @@
 use std::collections::HashMap;
 
 use crate::admission_event::{AdmissionAction, AdmissionEvent, AdmissionLimits, NextRecheck};
-use crate::begin::{Begin, Choice, Outlook};
-use crate::chance::{Need, left_us};
 use crate::cold_start::ColdStartLimiter;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::elsewhere::Elsewhere;
 use crate::event::{Refusal, RefusalReason};
-use crate::figures::Figures;
 use crate::hold_queue::{CallAttributes, HeldCall, HoldQueue};
 use crate::ids::{CallId, Micros};
 use crate::service_time::{CallKind, ServiceTimes};
-use crate::slowness::{SlownessReading, UsualSlowness};
-use crate::spell::Spells;
+use crate::slow_period::SlowPeriodModel;
+use crate::slowness::{SlownessDistribution, SlownessReading};
+use crate::start_decision::{StartDecision, StartRequest, TargetConditions};
+use crate::target_load::TargetLoad;
+use crate::utility::{CallTiming, remaining_us};
 
 /// Minimum weight of one sample in the moving average of the service time.
 const MIN_SERVICE_TIME_WEIGHT: f64 = 0.125;
@@ -77,8 +77,8 @@
     service_times: ServiceTimes,
     concurrency_limit: ConcurrencyLimit,
     slowness: Option<SlownessReading>,
-    usual_slowness: UsualSlowness,
-    spells: Spells,
+    usual_slowness: SlownessDistribution,
+    spells: SlowPeriodModel,
     cold_start: ColdStartLimiter,
     recent_refusals: f64,
     recent_deliveries: f64,
@@ -98,8 +98,8 @@
             service_times: ServiceTimes::default(),
             concurrency_limit: ConcurrencyLimit::default(),
             slowness: None,
-            usual_slowness: UsualSlowness::default(),
-            spells: Spells::default(),
+            usual_slowness: SlownessDistribution::default(),
+            spells: SlowPeriodModel::default(),
             cold_start: ColdStartLimiter::default(),
             recent_refusals: 0.0,
             recent_deliveries: 0.0,
@@ -130,7 +130,7 @@
                 self.record_slowness(now, percent);
             }
             AdmissionEvent::Recheck => {}
-            AdmissionEvent::PeerSlowness(reading) => self.usual_slowness.learn(reading),
+            AdmissionEvent::PeerSlowness(reading) => self.usual_slowness.record(reading),
             AdmissionEvent::Withdraw { call } => self.queue.remove(call),
             AdmissionEvent::Leave => self.leaving = true,
             AdmissionEvent::Rejoin => self.leaving = false,
@@ -151,13 +151,13 @@
     }
 
     /// Returns the current load.
-    pub fn figures(&self, now: Micros) -> Figures {
+    pub fn figures(&self, now: Micros) -> TargetLoad {
         let reading = self.slowness.unwrap_or(SlownessReading {
             factor: 0.0,
             at: now,
         });
         let age_us = now.saturating_sub(reading.at);
-        Figures {
+        TargetLoad {
             in_flight: self.in_flight.len() as u32,
             held: self.queue.len() as u32,
             slots: self.advertised_slots(now),
@@ -226,10 +226,10 @@
         };
         if has_cold_capacity && self.has_free_slot(now) {
             match self.decide(now, &held) {
-                Begin::Now => return Some(self.deliver(now, held)),
-                Begin::Elsewhere => return Some(self.redirect(now, &held)),
-                Begin::ComeBack => return Some(self.refuse_until_spell_ends(call)),
-                Begin::Later => {}
+                StartDecision::Now => return Some(self.deliver(now, held)),
+                StartDecision::Reroute => return Some(self.redirect(now, &held)),
+                StartDecision::Reject => return Some(self.refuse_until_spell_ends(call)),
+                StartDecision::Defer => {}
             }
         }
         if self.queue.len() >= self.limits.hold_limit as usize {
@@ -253,13 +253,13 @@
     }
 
     /// Decides what to do with a call while a slot is free.
-    fn decide(&self, now: Micros, held: &HeldCall) -> Begin {
+    fn decide(&self, now: Micros, held: &HeldCall) -> StartDecision {
         let choice = self.choice(now, held.deadline, &held.attributes, held.initial_goal_us());
         let Some((outlook, choice)) = self.outlook(now).zip(choice) else {
-            return Begin::Now;
+            return StartDecision::Now;
         };
-        outlook.best(&Choice {
-            can_come_back: held.can_retry_in_time(now),
+        outlook.decide(&StartRequest {
+            can_retry: held.can_retry_in_time(now),
             ..choice
         })
     }
@@ -272,7 +272,7 @@
 
     /// Refuses a call so that its caller retries when the slow spell should be over.
     fn refuse_until_spell_ends(&self, call: CallId) -> AdmissionAction {
-        let wait = self.spells.slow_us() as Micros;
+        let wait = self.spells.mean_slow_us() as Micros;
         refuse(call, RefusalReason::TooLate, self.retry_after(wait))
     }
 
@@ -282,7 +282,7 @@
         let Some(outlook) = self.outlook(now) else {
             return attributes.goal.is_some();
         };
-        let initial_goal_us = left_us(now, attributes.goal.unwrap_or(deadline));
+        let initial_goal_us = remaining_us(now, attributes.goal.unwrap_or(deadline));
         let attributes = CallAttributes {
             goal: attributes.effective_goal(now),
             ..*attributes
@@ -291,16 +291,16 @@
             return false;
         };
         let price = f64::from(self.limits.ask_price_permille) / 1_000.0;
-        outlook.worth_of_asking(&choice) > price
+        outlook.load_query_gain(&choice) > price
     }
 
     /// What is known about the target; `None` until it has reported its slowness.
-    fn outlook(&self, now: Micros) -> Option<Outlook<'_>> {
-        Some(Outlook {
+    fn outlook(&self, now: Micros) -> Option<TargetConditions<'_>> {
+        Some(TargetConditions {
             now,
             reading: self.slowness?,
-            usual: &self.usual_slowness,
-            spells: &self.spells,
+            service_slowness: &self.usual_slowness,
+            slow_periods: &self.spells,
         })
     }
 
@@ -312,19 +312,19 @@
         deadline: Micros,
         attributes: &CallAttributes,
         initial_goal_us: f64,
-    ) -> Option<Choice> {
-        let need = Need {
-            goal_left_us: left_us(now, attributes.goal?.min(deadline)),
-            deadline_left_us: left_us(now, deadline),
+    ) -> Option<StartRequest> {
+        let timing = CallTiming {
+            goal_remaining_us: remaining_us(now, attributes.goal?.min(deadline)),
+            deadline_remaining_us: remaining_us(now, deadline),
             work: self
                 .service_times
                 .estimate_or_assumed(attributes.kind, initial_goal_us),
         };
-        Some(Choice {
-            need,
+        Some(StartRequest {
+            timing,
             elsewhere: attributes.elsewhere,
-            prices: self.limits.prices,
-            can_come_back: false,
+            distance_costs: self.limits.prices,
+            can_retry: false,
         })
     }
 
@@ -379,7 +379,7 @@
             return Micros::from(self.service_us);
         };
         let at_once = work.mean_us * factor;
-        let after_spell = work.mean_us * self.spells.baseline() + self.spells.slow_us();
+        let after_spell = work.mean_us * self.spells.baseline() + self.spells.mean_slow_us();
         at_once.min(after_spell) as Micros
     }
 
@@ -401,7 +401,7 @@
             });
         }
         let read_at = self.slowness.map_or(now, |reading| reading.at);
-        let step_us = (self.spells.slow_us() / RECHECKS_PER_SPELL) as Micros;
+        let step_us = (self.spells.mean_slow_us() / RECHECKS_PER_SPELL) as Micros;
         Some(NextRecheck {
             at: (read_at + step_us).max(now + MIN_RECHECK_DELAY_US),
             needs_reading: true,
@@ -410,7 +410,7 @@
 
     fn expected_slowness(&self, now: Micros) -> Option<f64> {
         self.slowness?;
-        let likely = self.usual_slowness.expect(now, self.slowness);
+        let likely = self.usual_slowness.predict(now, self.slowness);
         Some(
             likely
                 .map(|likely| likely.factor * likely.probability)
@@ -468,10 +468,10 @@
                 continue;
             }
             let action = match self.decide(now, &held) {
-                Begin::Later => continue,
-                Begin::Now => self.deliver(now, held),
-                Begin::Elsewhere => self.redirect(now, &held),
-                Begin::ComeBack => self.refuse_until_spell_ends(held.call),
+                StartDecision::Defer => continue,
+                StartDecision::Now => self.deliver(now, held),
+                StartDecision::Reroute => self.redirect(now, &held),
+                StartDecision::Reject => self.refuse_until_spell_ends(held.call),
             };
             self.queue.remove(held.call);
             actions.push(action);
@@ -509,8 +509,8 @@
         let factor = f64::from(percent.max(1)) / 100.0;
         let reading = SlownessReading { factor, at: now };
         self.slowness = Some(reading);
-        self.usual_slowness.learn_own(reading);
-        self.spells.learn(reading);
+        self.usual_slowness.record_own(reading);
+        self.spells.record(reading);
         factor
     }
 
--- a/crates/policy/src/admission_event.rs
+++ b/crates/policy/src/admission_event.rs
@@ -1,7 +1,7 @@
 //! Input events, actions and limits of the admission controller.
 
 use crate::cold_start::FirstReport;
-use crate::distance::WayPrices;
+use crate::distance::DistanceCosts;
 use crate::event::Refusal;
 use crate::hold_queue::CallAttributes;
 use crate::ids::{CallId, Micros};
@@ -15,7 +15,7 @@
     /// Maximum number of queued calls.
     pub hold_limit: u32,
     /// Cost of routing a call to a target in another place or region.
-    pub prices: WayPrices,
+    pub prices: DistanceCosts,
     /// Cost of probing the target for its load, in thousandths of the value of a call.
     pub ask_price_permille: u32,
     /// Maximum number of calls delivered to a cold target in any second; 0 means unlimited.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,20 +1,17 @@
-//! Pure decisions for routing, admission, retries and measuring budgets.
+//! Pure state machines for routing, admission control, retries and measurement budgets.
 //!
-//! Everything here is a plain state machine: an event and the present time go
-//! in, actions come out. There is no I/O, no clock, no thread, and randomness
-//! comes from a generator seeded by whoever builds the machine. The daemons
-//! feed these machines from sockets; a bench or a fuzzer can feed the very same
-//! code from virtual time.
+//! Each state machine takes an event and the present time, and returns actions. There is no
+//! I/O, no clock and no thread, and random numbers come from a generator that the owner
+//! seeds. Daemons drive the state machines from sockets; benchmarks and fuzz tests drive the
+//! same code in simulated time.
 
 mod ack_timeout;
 mod admission;
 mod admission_event;
-mod begin;
-mod body_meter;
+mod body_credit;
 mod body_window;
 mod budget;
 mod call_origins;
-mod chance;
 mod chooser;
 mod cold_start;
 mod concurrency_limit;
@@ -23,7 +20,6 @@
 mod evacuation;
 mod event;
 mod fair_budget;
-mod figures;
 mod fingerprint;
 mod hold_queue;
 mod homes;
@@ -43,40 +39,40 @@
 mod service_time;
 mod settings_pacer;
 mod settings_sources;
+mod slow_period;
 mod slowness;
-mod spell;
+mod start_decision;
 mod subset;
 mod target;
+mod target_load;
+mod utility;
 
 pub use ack_timeout::AckTimeout;
 pub use admission::AdmissionController;
 pub use admission_event::{AdmissionAction, AdmissionEvent, AdmissionLimits, NextRecheck};
-pub use begin::{Begin, Choice, Outlook};
-pub use body_meter::BodyMeter;
-pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
+pub use body_credit::BodyCreditScheduler;
+pub use body_window::{BodyError, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
 pub use call_origins::CallOrigins;
-pub use chance::Need;
 pub use chooser::{ChooseParams, Chooser, Considered};
 pub use cold_start::{ColdStartLimiter, FirstReport};
 pub use concurrency_limit::ConcurrencyLimit;
-pub use distance::{Distance, WayPrices};
+pub use distance::{Distance, DistanceCosts};
 pub use elsewhere::Elsewhere;
 pub use evacuation::{EvacuatedZones, ZoneUpdate};
 pub use event::{
     Action, Event, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
 };
 pub use fair_budget::FairBudget;
-pub use figures::Figures;
-pub use fingerprint::{Fingerprint, NotAFingerprint, RequestPrints};
+pub use fingerprint::{Fingerprint, ParseFingerprintError, RequestFingerprints};
 pub use hold_queue::{CallAttributes, HeldCall, HoldQueue};
 pub use homes::{Homes, subset_with_homes};
-pub use ids::{AttemptId, CallId, EndId, Micros, TargetId};
+pub use ids::{AttemptId, CallId, Micros, TargetExitId, TargetId};
 pub use neighbours::{
     NeighbourOrder, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS,
     neighbours, rank,
 };
-pub use pipeline::{Arrival, CallNumber, NextOut, Pipeline, PipelineLimits};
+pub use pipeline::{CallNumber, Pipeline, PipelineLimits, ReadyResponse, RequestInfo};
 pub use policy_name::{Policy, UnknownPolicy};
 pub use quarantine::{
     Changed, Listed, Quarantine, QuarantineLimits, SeenEnd, Standing, SuspectNews,
@@ -99,7 +95,10 @@
 pub use service_time::{CallKind, ServiceTimeEstimate, ServiceTimes};
 pub use settings_pacer::SettingsPacer;
 pub use settings_sources::{NextSource, SettingsSource, SettingsSourceSelector};
-pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
-pub use spell::Spells;
+pub use slow_period::SlowPeriodModel;
+pub use slowness::{SlownessDistribution, SlownessReading, WeightedSlowness};
+pub use start_decision::{StartDecision, StartRequest, TargetConditions};
 pub use subset::{Candidate, Location, MIN_OTHER_REGION_TARGETS, subset};
 pub use target::{Health, TargetState, Usual};
+pub use target_load::TargetLoad;
+pub use utility::CallTiming;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -4,7 +4,7 @@
 
 use lynxcleat_policy::{
     AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
-    RefusalReason, WayPrices,
+    DistanceCosts, RefusalReason,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,7 +12,7 @@
 const LIMITS: AdmissionLimits = AdmissionLimits {
     slots: 2,
     hold_limit: 3,
-    prices: WayPrices::NONE,
+    prices: DistanceCosts::NONE,
     ask_price_permille: 10,
     cold_calls_per_s: 0,
     cold_ms: 0,
--- a/crates/policy/tests/cold_start.rs
+++ b/crates/policy/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 use lynxcleat_policy::{
     AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
-    ColdStartLimiter, Elsewhere, FirstReport, RefusalReason, WayPrices,
+    ColdStartLimiter, DistanceCosts, Elsewhere, FirstReport, RefusalReason,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -188,7 +188,7 @@
     let mut admit = AdmissionController::new(AdmissionLimits {
         slots: 100,
         hold_limit: 10,
-        prices: WayPrices::default(),
+        prices: DistanceCosts::default(),
         ask_price_permille: 10,
         cold_calls_per_s: LIMIT,
         cold_ms: 0,
@@ -198,7 +198,7 @@
         AdmissionEvent::SetLimits(AdmissionLimits {
             slots: 100,
             hold_limit: 10,
-            prices: WayPrices::default(),
+            prices: DistanceCosts::default(),
             ask_price_permille: 10,
             cold_calls_per_s: LIMIT,
             cold_ms: 0,
--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -2,12 +2,12 @@
 
 use lynxcleat_policy::{
     AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
-    CallKind, WayPrices,
+    CallKind, DistanceCosts,
 };
 
 const MS: u64 = 1_000;
 /// Targets in other places or regions have a cost.
-const PRICES: WayPrices = WayPrices {
+const PRICES: DistanceCosts = DistanceCosts {
     far_percent: 20,
     region_percent: 20,
 };
--- a/crates/policy/tests/load_queries.rs
+++ b/crates/policy/tests/load_queries.rs
@@ -2,13 +2,13 @@
 
 use lynxcleat_policy::{
     AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, CallAttributes, CallId,
-    CallKind, Elsewhere, SlownessReading, WayPrices,
+    CallKind, DistanceCosts, Elsewhere, SlownessReading,
 };
 use rstest::rstest;
 
 const MS: u64 = 1_000;
 /// Cost of sending a call to another place or region.
-const PRICES: WayPrices = WayPrices {
+const PRICES: DistanceCosts = DistanceCosts {
     far_percent: 20,
     region_percent: 20,
 };
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Action, CallId, CallKind, Candidate, ChooseParams, Distance, Elsewhere, Event, Figures,
+    Action, CallId, CallKind, Candidate, ChooseParams, Distance, DistanceCosts, Elsewhere, Event,
     Location, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, Policy, RetryParams, Router,
-    RouterParams, SAME_ZONE_NEIGHBOURS, TargetId, WayPrices, neighbours, subset,
+    RouterParams, SAME_ZONE_NEIGHBOURS, TargetId, TargetLoad, neighbours, subset,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -182,7 +182,7 @@
             ramp_us: 0,
             eject_failures: 5,
             eject_us: 1_000 * MS,
-            prices: WayPrices {
+            prices: DistanceCosts {
                 far_percent: 20,
                 region_percent: 40,
             },
@@ -223,12 +223,12 @@
 ];
 
 fn report(router: &mut Router, now: u64, target: TargetId, load: u32) {
-    let figures = Figures {
+    let figures = TargetLoad {
         in_flight: load.min(SLOTS),
         held: load.saturating_sub(SLOTS),
         slots: SLOTS,
         service_us: 100 * MS as u32,
-        ..Figures::default()
+        ..TargetLoad::default()
     };
     router.on(now, Event::FiguresSeen { target, figures });
 }
@@ -327,12 +327,12 @@
 
 #[test]
 fn another_region_costs_more_than_another_place() {
-    let prices = WayPrices {
+    let prices = DistanceCosts {
         far_percent: 20,
         region_percent: 60,
     };
-    assert_eq!(prices.of(Distance::OwnRegion), 0.2);
-    assert_eq!(prices.of(Distance::OtherRegion), 0.6);
+    assert_eq!(prices.cost(Distance::OwnRegion), 0.2);
+    assert_eq!(prices.cost(Distance::OtherRegion), 0.6);
 }
 
 /// Targets beyond the permitted distance are neither selected nor counted as alternatives.
@@ -359,11 +359,11 @@
 /// A path to another region also leads to another place.
 #[test]
 fn another_region_costs_no_less_than_another_place() {
-    let prices = WayPrices {
+    let prices = DistanceCosts {
         far_percent: 30,
         region_percent: 0,
     };
-    assert_eq!(prices.of(Distance::OwnPlace), 0.0);
-    assert_eq!(prices.of(Distance::OwnRegion), 0.3);
-    assert_eq!(prices.of(Distance::OtherRegion), 0.3);
+    assert_eq!(prices.cost(Distance::OwnPlace), 0.0);
+    assert_eq!(prices.cost(Distance::OwnRegion), 0.3);
+    assert_eq!(prices.cost(Distance::OtherRegion), 0.3);
 }
