--- a/crates/settings/tests/rollout_machine.rs
+++ b/crates/settings/tests/rollout_machine.rs
@@ -1,6 +1,7 @@
-//! Stateful fuzz of generations at several daemons against a plain model: offers come
-//! in any order, twice, old, damaged or contradicting, and daemons are replaced. What
-//! is in force at a daemon only rises and is always what was accepted.
+//! Model-based test of configuration generations at several daemons. Generations are offered
+//! out of order, repeatedly, outdated, corrupted or conflicting, and daemons are replaced. The
+//! active generation of a running daemon must never go back, and its content must be what was
+//! accepted under its number.
 
 use lynxcleat_settings::{Digest, Generation, Tree, digest};
 use proptest::prelude::*;
@@ -10,22 +11,22 @@
 
 const DAEMONS: usize = 3;
 
-/// What was accepted, and the number each daemon should have in force.
+/// The newest accepted number, and the number expected to be active at each daemon.
 #[derive(Clone, Debug)]
 struct Model {
     accepted: u64,
-    in_force: [u64; DAEMONS],
+    active: [u64; DAEMONS],
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Accept,
-    /// The accepted generation of this number, or the newest, reaches a daemon.
+    /// A daemon is offered the accepted generation of this number, or the newest if there is none.
     Offer(usize, u64),
-    /// Content that is not what the digest says.
-    Damaged(u64),
-    /// Other content under a number that was accepted.
-    Contradicting(usize, u64),
+    /// Content that does not match its digest.
+    Corrupted(u64),
+    /// Different content under a number that was accepted.
+    Conflicting(usize, u64),
     Replace(usize),
 }
 
@@ -36,7 +37,7 @@
     fn init_state() -> BoxedStrategy<Model> {
         Just(Model {
             accepted: 1,
-            in_force: [0; DAEMONS],
+            active: [0; DAEMONS],
         })
         .boxed()
     }
@@ -47,8 +48,8 @@
         prop_oneof![
             2 => Just(Step::Accept),
             6 => (daemon.clone(), number.clone()).prop_map(|(d, n)| Step::Offer(d, n)),
-            1 => number.clone().prop_map(Step::Damaged),
-            1 => (daemon.clone(), number).prop_map(|(d, n)| Step::Contradicting(d, n)),
+            1 => number.clone().prop_map(Step::Corrupted),
+            1 => (daemon.clone(), number).prop_map(|(d, n)| Step::Conflicting(d, n)),
             1 => daemon.prop_map(Step::Replace),
         ]
         .boxed()
@@ -59,11 +60,11 @@
             Step::Accept => model.accepted += 1,
             Step::Offer(daemon, number) => {
                 let offered = *number.min(&model.accepted);
-                model.in_force[*daemon] = model.in_force[*daemon].max(offered);
+                model.active[*daemon] = model.active[*daemon].max(offered);
             }
-            // A contradicting one is told apart only from the one it contradicts.
-            Step::Damaged(..) | Step::Contradicting(..) => {}
-            Step::Replace(daemon) => model.in_force[*daemon] = 0,
+            // A conflict is only detected by a daemon that holds a generation of that number.
+            Step::Corrupted(..) | Step::Conflicting(..) => {}
+            Step::Replace(daemon) => model.active[*daemon] = 0,
         }
         model
     }
@@ -72,23 +73,23 @@
 #[derive(Default)]
 struct Daemons {
     accepted: u64,
-    in_force: [Option<Generation>; DAEMONS],
+    active: [Option<Generation>; DAEMONS],
 }
 
-/// The tree accepted under a number.
+/// A settings tree for a generation; the accepted ones have a `hold_limit` of 1.
 fn tree(number: u64, hold_limit: u64) -> Tree {
     let settings = json!({"settings": {"slots": number, "hold_limit": hold_limit}});
-    Tree::from_json(&settings).expect("a good tree")
+    Tree::from_json(&settings).expect("valid settings")
 }
 
 fn generation(number: u64, hold_limit: u64) -> Generation {
     let (text, digest) = digest(&tree(number, hold_limit));
-    Generation::check(number, digest, text).expect("good content")
+    Generation::check(number, digest, text).expect("content matches its digest")
 }
 
 impl Daemons {
     fn offer(&mut self, daemon: usize, generation: Generation) {
-        let slot = &mut self.in_force[daemon];
+        let slot = &mut self.active[daemon];
         if generation.succeeds(slot.as_ref()) == Ok(true) {
             *slot = Some(generation);
         }
@@ -113,29 +114,33 @@
                 let number = number.min(daemons.accepted);
                 daemons.offer(daemon, generation(number, 1));
             }
-            Step::Damaged(number) => {
+            Step::Corrupted(number) => {
                 let (text, _) = digest(&tree(number, 1));
                 let other = Digest::of(b"other content");
                 assert!(Generation::check(number, other, text).is_err());
             }
-            Step::Contradicting(daemon, number) => {
-                // Offered only where its number is in force already: it must lose.
-                let has = daemons.in_force[daemon].as_ref().map(|g| g.number);
-                if has >= Some(number) {
+            Step::Conflicting(daemon, number) => {
+                // Only offered where its number or a later one is active, so it must be rejected.
+                let active = daemons.active[daemon].as_ref().map(|g| g.number);
+                if active >= Some(number) {
                     daemons.offer(daemon, generation(number, 2));
                 }
             }
-            Step::Replace(daemon) => daemons.in_force[daemon] = None,
+            Step::Replace(daemon) => daemons.active[daemon] = None,
         }
         daemons
     }
 
     fn check_invariants(daemons: &Daemons, model: &Model) {
-        for (in_force, expected) in daemons.in_force.iter().zip(model.in_force) {
-            let number = in_force.as_ref().map_or(0, |g| g.number);
+        for (active, expected) in daemons.active.iter().zip(model.active) {
+            let number = active.as_ref().map_or(0, |g| g.number);
             assert_eq!(number, expected);
-            if let Some(generation) = in_force {
-                assert_eq!(generation.tree, tree(expected, 1), "not what was accepted");
+            if let Some(generation) = active {
+                assert_eq!(
+                    generation.tree,
+                    tree(expected, 1),
+                    "content differs from the accepted generation"
+                );
             }
         }
     }
@@ -145,5 +150,5 @@
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(13), cases: 500, failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn what_is_in_force_only_rises_and_is_what_was_accepted(sequential 1..60 => Daemons);
+    fn active_generations_never_go_back_and_are_as_accepted(sequential 1..60 => Daemons);
 }
