--- a/crates/daemon/src/directory/operator.rs
+++ b/crates/daemon/src/directory/operator.rs
@@ -47,9 +47,9 @@
     RolloutOrder {
         service,
         number: row.version,
-        within_us: wanted
+        time_limit_us: wanted
             .as_ref()
             .map_or(0, |wanted| wanted.within_ms.saturating_mul(1_000)),
-        target: wanted.map(|wanted| wanted.target),
+        version: wanted.map(|wanted| wanted.target),
     }
 }
--- a/crates/daemon/src/half/deliver.rs
+++ b/crates/daemon/src/half/deliver.rs
@@ -102,7 +102,7 @@
                 let at_usual_speed = |took_us| load.map_or(took_us, |load| load.work_us(took_us));
                 Some(Outcome::Served(took_us.map(at_usual_speed)))
             }
-            Exchange::Lost => Some(cut_after_us.map_or(Outcome::Failed, Outcome::Cut)),
+            Exchange::Lost => Some(cut_after_us.map_or(Outcome::Failed, Outcome::Aborted)),
             Exchange::Shed { .. }
             | Exchange::OtherInstance
             | Exchange::NotWritten
--- a/crates/daemon/src/rollout/division.rs
+++ b/crates/daemon/src/rollout/division.rs
@@ -5,8 +5,8 @@
 use std::hash::{Hash, Hasher};
 
 use lynxcleat_policy::{
-    Admits, CANARY_PART, Candidate, Here, Phase, Rollout, RolloutTargets, TargetId, canary_width,
-    subset_with_homes,
+    AdmittedCalls, CANARY_SHARE_FACTOR, Candidate, Here, Phase, Rollout, RolloutTargets, TargetId,
+    canary_target_count, subset_with_homes,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_store::{HostEntry, HostState};
@@ -18,7 +18,7 @@
 /// What the targets of a service may get, by host.
 pub struct Division {
     order: u64,
-    admits: HashMap<String, Admits>,
+    admits: HashMap<String, AdmittedCalls>,
     /// Hosts of the new version in the order that all routers share, without those that were
     /// set aside.
     canaries: Vec<String>,
@@ -33,18 +33,18 @@
     pub(super) fn new(rollout: &Rollout, listed: &[HostEntry], effective: &Effective) -> Self {
         let old = old_targets(rollout, listed);
         let any_other = any_other(rollout, listed);
-        let set_aside = rollout.judge().set_aside();
+        let set_aside = rollout.analysis().excluded_hosts();
         let admits = listed.iter().map(|entry| {
-            let admits = match rollout.admits(&entry.version, any_other) {
-                Admits::Canary if set_aside.contains(&entry.host) => Admits::Nothing,
+            let admits = match rollout.admitted_calls(&entry.version, any_other) {
+                AdmittedCalls::Canary if set_aside.contains(&entry.host) => AdmittedCalls::None,
                 admits => admits,
             };
             (entry.host.clone(), admits)
         });
-        let admits: HashMap<String, Admits> = admits.collect();
+        let admits: HashMap<String, AdmittedCalls> = admits.collect();
         let mut canaries: Vec<String> = admits
             .iter()
-            .filter(|(_, admits)| **admits == Admits::Canary)
+            .filter(|(_, admits)| **admits == AdmittedCalls::Canary)
             .map(|(host, _)| host.clone())
             .collect();
         canaries.sort_by_key(|host| place_in_order(rollout.number(), host));
@@ -56,7 +56,7 @@
             order: rollout.number(),
             admits,
             canaries,
-            share: f64::from(effective.canary_percent) / 100.0 * CANARY_PART,
+            share: f64::from(effective.canary_percent) / 100.0 * CANARY_SHARE_FACTOR,
             old,
         }
     }
@@ -71,7 +71,11 @@
         regions: &[String],
     ) -> Vec<TargetId> {
         let mut wanted = Vec::new();
-        for part in [Admits::All, Admits::Canary, Admits::Nothing] {
+        for part in [
+            AdmittedCalls::All,
+            AdmittedCalls::Canary,
+            AdmittedCalls::None,
+        ] {
             let of_part = |candidate: &&Candidate| self.admits(&candidate.host) == part;
             let part: Vec<Candidate> = candidates.iter().filter(of_part).cloned().collect();
             wanted.extend(subset_with_homes(here, &part, size, regions));
@@ -92,7 +96,7 @@
         let canaries = ids(&self.canaries, candidates);
         let barred = candidates
             .iter()
-            .filter(|candidate| self.admits(&candidate.host) == Admits::Nothing);
+            .filter(|candidate| self.admits(&candidate.host) == AdmittedCalls::None);
         RolloutTargets {
             order: self.order,
             canaries: canaries
@@ -100,14 +104,14 @@
                 .filter(|target| wanted.contains(target))
                 .collect(),
             new: ids(&self.new, candidates),
-            width: canary_width(self.share, self.old),
+            canary_count: canary_target_count(self.share, self.old),
             share: self.share,
-            barred: barred.map(|candidate| candidate.target).collect(),
+            excluded: barred.map(|candidate| candidate.target).collect(),
         }
     }
 
-    fn admits(&self, host: &str) -> Admits {
-        self.admits.get(host).copied().unwrap_or(Admits::All)
+    fn admits(&self, host: &str) -> AdmittedCalls {
+        self.admits.get(host).copied().unwrap_or(AdmittedCalls::All)
     }
 }
 
--- a/crates/daemon/src/rollout/mod.rs
+++ b/crates/daemon/src/rollout/mod.rs
@@ -37,7 +37,7 @@
     let now = core.clock.now();
     let state = core
         .rollouts
-        .with(|known| known.of(service).map(|known| state(now, known)));
+        .with(|known| known.get(service).map(|known| state(now, known)));
     let Some(state) = state else { return };
     log::info!(
         service,
--- a/crates/daemon/src/rollout/own.rs
+++ b/crates/daemon/src/rollout/own.rs
@@ -1,6 +1,6 @@
 //! What a rollout changes for the own target's half.
 
-use lynxcleat_policy::{Admits, HalfEvidence, Phase};
+use lynxcleat_policy::{AdmittedCalls, Phase, TargetEvidence};
 use lynxcleat_wire::{Frame, IdleFrame};
 
 use super::division::{any_other, place_in_order};
@@ -29,10 +29,12 @@
     let listed = core.hosts.of_service(&service);
     let now = core.clock.now();
     let found = core.rollouts.with(|known| {
-        let rollout = known.of(&service)?;
+        let rollout = known.get(&service)?;
         let any_other = any_other(rollout, &listed);
-        let admits = match rollout.admits(&version, any_other) {
-            Admits::Nothing if !rollout.closes(now, &version, any_other) => Admits::All,
+        let admits = match rollout.admitted_calls(&version, any_other) {
+            AdmittedCalls::None if !rollout.refuses_all(now, &version, any_other) => {
+                AdmittedCalls::All
+            }
             admits => admits,
         };
         Some((rollout.number(), admits))
@@ -42,7 +44,7 @@
     if let Some((order, _)) = found {
         begin_count(core, order, service, version);
     }
-    core.set_leaving(LeaveCause::Rollout, admits == Some(Admits::Nothing));
+    core.set_leaving(LeaveCause::Rollout, admits == Some(AdmittedCalls::None));
 }
 
 fn begin_count(core: &Core, order: u64, service: String, version: String) {
@@ -51,19 +53,19 @@
     if is_same && counted.version == version {
         return;
     }
-    *counted = HalfEvidence {
+    *counted = TargetEvidence {
         service,
         order,
         host: core.config.host.clone(),
         // Another target behind the same daemon counts anew.
         incarnation: core.me.incarnation.0 ^ place_in_order(order, &version),
         version,
-        ..HalfEvidence::default()
+        ..TargetEvidence::default()
     };
 }
 
 /// What the own half counted, where others want to know it.
-pub(super) fn evidence(core: &Core) -> Option<HalfEvidence> {
+pub(super) fn evidence(core: &Core) -> Option<TargetEvidence> {
     let counted = lock(&core.rollouts.counted).clone();
     if counted.kinds.is_empty() {
         return None;
@@ -71,8 +73,8 @@
     let listed = core.hosts.of_service(&counted.service);
     core.rollouts.with(|known| {
         let rollout = known
-            .of(&counted.service)
-            .filter(|rollout| rollout.is_open())?;
+            .get(&counted.service)
+            .filter(|rollout| rollout.is_active())?;
         let is_told = !rollout.is_old(&counted.version) || {
             let place = |host: &str| place_in_order(rollout.number(), host);
             let own = place(&counted.host);
@@ -88,7 +90,7 @@
     let service = core.half.service(core);
     let version = own_version(core);
     let order = core.rollouts.with(|known| {
-        let rollout = known.of(&service)?;
+        let rollout = known.get(&service)?;
         let moves_away = rollout.phase() == Phase::Moving && rollout.is_old(&version);
         moves_away.then(|| rollout.number())
     })?;
@@ -103,6 +105,6 @@
 }
 
 /// Tells what the own half counted to everyone that a link leads to.
-pub(super) fn tell_evidence(core: &Core, evidence: HalfEvidence) {
+pub(super) fn tell_evidence(core: &Core, evidence: TargetEvidence) {
     core.links.announce(&Frame::RolloutEvidence(evidence));
 }
--- a/crates/daemon/src/rollout/spread.rs
+++ b/crates/daemon/src/rollout/spread.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_policy::{HalfEvidence, RolloutNews, RolloutOrder, Taken};
+use lynxcleat_policy::{RolloutChange, RolloutOrder, RolloutUpdate, TargetEvidence};
 use lynxcleat_wire::{Frame, IdleFrame};
 
 use super::{changed, status};
@@ -17,8 +17,8 @@
 pub fn take_orders(core: &Arc<Core>, orders: &[RolloutOrder]) {
     let now = core.clock.now();
     for order in orders {
-        let taken = core.rollouts.with(|known| known.take_order(now, order));
-        if taken == Taken::News {
+        let taken = core.rollouts.with(|known| known.apply_order(now, order));
+        if taken == RolloutChange::Relay {
             changed(core, &order.service);
             pass_on(core, &order.service, None);
             // It may have ended before this daemon started.
@@ -28,11 +28,11 @@
 }
 
 /// Takes what another daemon knows.
-pub fn take_news(core: &Arc<Core>, link: &Link, news: &[RolloutNews]) {
+pub fn take_news(core: &Arc<Core>, link: &Link, news: &[RolloutUpdate]) {
     let now = core.clock.now();
     for news in news {
-        let taken = core.rollouts.with(|known| known.take(now, news));
-        if taken == Taken::News {
+        let taken = core.rollouts.with(|known| known.apply_update(now, news));
+        if taken == RolloutChange::Relay {
             changed(core, &news.service);
             pass_on(core, &news.service, Some(link.id));
         }
@@ -47,16 +47,16 @@
     let now = core.clock.now();
     let all = core
         .rollouts
-        .with(|known| known.all().map(|known| known.news(now)).collect());
+        .with(|known| known.all().map(|known| known.to_update(now)).collect());
     let _ = link.send(Frame::Rollouts(all));
 }
 
 /// Takes what a half counted.
-pub fn take_evidence(core: &Core, evidence: &HalfEvidence) {
+pub fn take_evidence(core: &Core, evidence: &TargetEvidence) {
     let now = core.clock.now();
     core.rollouts.with(|known| {
-        if let Some(rollout) = known.of_mut(&evidence.service) {
-            rollout.take_evidence(now, evidence);
+        if let Some(rollout) = known.get_mut(&evidence.service) {
+            rollout.add_evidence(now, evidence);
         }
     });
 }
@@ -80,8 +80,8 @@
 /// Returns whether it is news.
 pub(super) fn note_idle(core: &Core, idle: &IdleFrame) -> bool {
     core.rollouts.with(|known| {
-        let rollout = known.of_mut(&idle.service);
-        rollout.is_some_and(|rollout| rollout.take_idle(idle.order, &idle.host))
+        let rollout = known.get_mut(&idle.service);
+        rollout.is_some_and(|rollout| rollout.record_idle(idle.order, &idle.host))
     })
 }
 
@@ -90,7 +90,7 @@
     let now = core.clock.now();
     let news = core
         .rollouts
-        .with(|known| known.of(service).map(|known| known.news(now)));
+        .with(|known| known.get(service).map(|known| known.to_update(now)));
     let Some(news) = news else { return };
     let frame = Frame::Rollouts(vec![news]);
     for link in core.links_for_news() {
--- a/crates/daemon/src/rollout/state.rs
+++ b/crates/daemon/src/rollout/state.rs
@@ -4,7 +4,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use lynxcleat_policy::{Admits, CallKind, HalfEvidence, Micros, Outcome, Phase, Rollout, Rollouts};
+use lynxcleat_policy::{
+    AdmittedCalls, CallKind, Micros, Outcome, Phase, Rollout, Rollouts, TargetEvidence,
+};
 use lynxcleat_settings::Effective;
 use lynxcleat_store::HostEntry;
 use serde::{Deserialize, Serialize};
@@ -82,9 +84,9 @@
     pub(super) any: AtomicBool,
     pub(super) known: Mutex<Rollouts>,
     /// What the half of the own target counted.
-    pub(super) counted: Mutex<HalfEvidence>,
+    pub(super) counted: Mutex<TargetEvidence>,
     /// What the own half may be given, where a rollout has to do with its service.
-    pub(super) own: Mutex<Option<Admits>>,
+    pub(super) own: Mutex<Option<AdmittedCalls>>,
     /// Old targets that were tried to be reached while calls move away from them.
     pub(super) reach: Reach,
     /// Writes to the status rows, by service.
@@ -105,9 +107,9 @@
             return true;
         }
         match *lock(&self.own) {
-            None | Some(Admits::All) => true,
-            Some(Admits::Canary) => marked,
-            Some(Admits::Nothing) => false,
+            None | Some(AdmittedCalls::All) => true,
+            Some(AdmittedCalls::Canary) => marked,
+            Some(AdmittedCalls::None) => false,
         }
     }
 
@@ -127,7 +129,7 @@
             return None;
         }
         let known = lock(&self.known);
-        let rollout = known.of(service)?;
+        let rollout = known.get(service)?;
         Some(Division::new(rollout, listed, effective))
     }
 
@@ -145,14 +147,14 @@
 
 /// A rollout as operators see it now.
 pub(super) fn state(now: Micros, rollout: &Rollout) -> RolloutState {
-    let (calls, bad) = rollout.judge().seen();
+    let (calls, bad) = rollout.analysis().observed_calls();
     RolloutState {
         service: rollout.service().to_owned(),
         target: rollout.version().to_owned(),
         order: rollout.number(),
         phase: rollout.phase(),
         stored: rollout.is_stored(),
-        left_ms: rollout.news(now).left_us / 1_000,
+        left_ms: rollout.to_update(now).remaining_us / 1_000,
         calls,
         bad,
     }
--- a/crates/daemon/src/rollout/status.rs
+++ b/crates/daemon/src/rollout/status.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lynxcleat_policy::{Micros, Phase, Taken};
+use lynxcleat_policy::{Micros, Phase, RolloutChange};
 use lynxcleat_store::{RowStoreError, RowWrite, StoredRow};
 use serde::{Deserialize, Serialize};
 
@@ -95,7 +95,7 @@
 fn next_write(core: &Core, service: &str, order: u64, state: State) -> Option<RowWrite> {
     let status = core.directory.as_ref()?.rollout_status();
     core.rollouts.with(|known| {
-        let rollout = known.of(service)?;
+        let rollout = known.get(service)?;
         let is_wanted = match (state, rollout.phase()) {
             (State::Running, Phase::Running) | (State::Reverted, Phase::Reverted) => {
                 !rollout.is_stored()
@@ -114,7 +114,7 @@
         Some(RowWrite {
             table: status.table.clone(),
             key: format!("{}{service}", status.key_prefix),
-            expected: rollout.row(),
+            expected: rollout.row_version(),
             value: serde_json::to_vec(&row).expect("a status encodes"),
         })
     })
@@ -176,17 +176,17 @@
         State::Reverted => Phase::Reverted,
     };
     let taken = core.rollouts.with(|known| {
-        let rollout = known.of_mut(service)?;
+        let rollout = known.get_mut(service)?;
         if row.order != rollout.number() {
             match row.order < rollout.number() {
-                true => rollout.seen_row(version),
-                false => rollout.superseded(),
+                true => rollout.record_row_version(version),
+                false => rollout.mark_superseded(),
             }
             return None;
         }
-        Some(rollout.stored(phase, version))
+        Some(rollout.record_stored(phase, version))
     });
-    if taken == Some(Taken::News) {
+    if taken == Some(RolloutChange::Relay) {
         changed(core, service);
         spread::pass_on(core, service, None);
     }
@@ -194,8 +194,8 @@
 
 fn see_row(core: &Core, service: &str, version: u64) {
     core.rollouts.with(|known| {
-        if let Some(rollout) = known.of_mut(service) {
-            rollout.seen_row(version);
+        if let Some(rollout) = known.get_mut(service) {
+            rollout.record_row_version(version);
         }
     });
 }
--- a/crates/daemon/src/rollout/work.rs
+++ b/crates/daemon/src/rollout/work.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lynxcleat_policy::{HalfEvidence, Members, Micros, Phase, Rollout, Step};
+use lynxcleat_policy::{MemberSummary, Micros, Phase, Rollout, Step, TargetEvidence};
 use lynxcleat_store::{HostEntry, HostState};
 use lynxcleat_wire::Frame;
 
@@ -23,7 +23,7 @@
 /// What was told last.
 #[derive(Default)]
 struct Told {
-    evidence: HalfEvidence,
+    evidence: TargetEvidence,
     evidence_at: Micros,
     idle_at: Option<Micros>,
     /// Targets set aside, of all services.
@@ -54,7 +54,7 @@
     let open = core.rollouts.with(|known| {
         let unsettled = known
             .all()
-            .filter(|known| known.is_open() || !known.is_stored());
+            .filter(|known| known.is_active() || !known.is_stored());
         let services = unsettled.map(|known| known.service().to_owned());
         services.collect::<Vec<String>>()
     });
@@ -105,7 +105,7 @@
     let now = core.clock.now();
     let listed = core.hosts.of_service(service);
     let stepped = core.rollouts.with(|known| {
-        let rollout = known.of_mut(service)?;
+        let rollout = known.get_mut(service)?;
         let members = members(core, rollout, &listed);
         let step = rollout.step(now, &members);
         if let Some(Step::Move | Step::Revert(_)) = step {
@@ -133,32 +133,35 @@
 
 /// One line with the evidence that decided.
 fn log_step(rollout: &Rollout, step: Option<Step>) {
-    let (calls, bad) = rollout.judge().seen();
+    let (calls, bad) = rollout.analysis().observed_calls();
     log::info!(
         service = rollout.service(),
         target_version = rollout.version(),
         order = rollout.number(),
         step:? = step,
-        readiness:? = rollout.judge().readiness(),
+        readiness:? = rollout.analysis().readiness(),
         calls,
         bad,
-        set_aside:? = rollout.judge().set_aside();
+        set_aside:? = rollout.analysis().excluded_hosts();
         "rollout decided"
     );
 }
 
 /// What is known of the targets of the service.
-fn members(core: &Arc<Core>, rollout: &Rollout, listed: &[HostEntry]) -> Members {
-    let mut members = Members {
-        old_idle: true,
-        ..Members::default()
+fn members(core: &Arc<Core>, rollout: &Rollout, listed: &[HostEntry]) -> MemberSummary {
+    let mut members = MemberSummary {
+        all_old_idle: true,
+        ..MemberSummary::default()
     };
     let links = core.links.all();
     for entry in listed {
         if entry.state == HostState::Live {
-            *members.versions.entry(entry.version.clone()).or_default() += 1;
+            *members
+                .targets_by_version
+                .entry(entry.version.clone())
+                .or_default() += 1;
         }
-        if !rollout.is_old(&entry.version) || rollout.idle().contains(&entry.host) {
+        if !rollout.is_old(&entry.version) || rollout.idle_hosts().contains(&entry.host) {
             continue;
         }
         let is_own = entry.host == core.config.host;
@@ -170,8 +173,8 @@
             && rollout.phase() == Phase::Moving
             && reach::is_unreachable(core, rollout.number(), &entry.host, &entry.mesh);
         match is_passed_over {
-            true => members.any_unheard = true,
-            false => members.old_idle = false,
+            true => members.any_unreachable = true,
+            false => members.all_old_idle = false,
         }
     }
     members
@@ -183,8 +186,8 @@
         service: service.to_owned(),
     };
     let found = core.rollouts.with(|known| {
-        let rollout = known.of(service)?;
-        Some((rollout.phase(), rollout.judge().seen()))
+        let rollout = known.get(service)?;
+        Some((rollout.phase(), rollout.analysis().observed_calls()))
     });
     let Some((phase, (calls, bad))) = found else {
         return;
@@ -217,7 +220,9 @@
 /// A target that was set aside is no canary any more.
 fn refresh_if_set_aside(core: &Arc<Core>, told: &mut Told) {
     let set_aside = core.rollouts.with(|known| {
-        let counts = known.all().map(|known| known.judge().set_aside().len());
+        let counts = known
+            .all()
+            .map(|known| known.analysis().excluded_hosts().len());
         counts.sum()
     });
     if set_aside != told.set_aside {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -89,9 +89,9 @@
 pub use report::{InPlace, ReportEffect, ReportedState, TargetReport, TargetReports};
 pub use retry::{FurtherAttempts, FurtherParams, RetryBound, RetryBudget, RetryWindow};
 pub use rollout::{
-    Admits, CANARY_PART, Cause, Exposure, Fault, HalfEvidence, Judge, Members, Outcome, Phase,
-    Readiness, Rollout, RolloutNews, RolloutOrder, RolloutTargets, Rollouts, Step, Taken, Tally,
-    canary_width,
+    AdmittedCalls, CANARY_SHARE_FACTOR, CallCounts, CanaryAnalysis, Cause, Exposure, Fault,
+    MemberSummary, Outcome, Phase, Readiness, Rollout, RolloutChange, RolloutOrder, RolloutTargets,
+    RolloutUpdate, Rollouts, Step, TargetEvidence, canary_target_count,
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
--- a/crates/policy/src/rollout/analysis.rs
+++ b/crates/policy/src/rollout/analysis.rs
@@ -1,81 +1,82 @@
-//! Whether a new version is bad, from what target halves counted.
+//! Canary analysis: decides from the evidence of all targets whether a new version is bad.
 //!
-//! For each target of the new version, for each kind of call and for all, a cumulative sum
-//! test (Page, 1954) compares its failures and its slow answers with those of the old
-//! version's targets in the same time. It forgets good times, so that a version that turns bad
-//! late is found as fast as one that was bad from the start.
+//! For each target of the new version, per kind of call and over all kinds, a cumulative sum
+//! (CUSUM) test (Page, 1954) compares its failures and slow answers with those of the old
+//! version's targets over the same period. The sum never falls below zero, so that a version
+//! that turns bad late is detected as fast as one that was bad from the start.
 //!
-//! Single targets fail or are slow for reasons of their own. A target whose test speaks
-//! against it is set aside, so that the next one is tried; the version is bad once that
-//! happens to a second one, or there is no other, or several gave bad answers and the test of
-//! all together speaks against them, or its bad answers are too many in all.
+//! A single target may fail or be slow for reasons unrelated to its version. A target that
+//! fails its test is therefore excluded and the next one gets the canary calls. The version is
+//! bad once a second target fails, or there is no other target, or several targets gave bad
+//! answers and the pooled test of all of them fails, or the bad answers exceed a total limit.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::evidence::{HalfEvidence, KINDS_LIMIT, Tally, time_class};
+use super::evidence::{CallCounts, MAX_KINDS, TargetEvidence, latency_bucket};
 use crate::ids::Micros;
 use crate::work::CallKind;
 
-/// Sum of log-likelihoods at which a test speaks against a target: a good one gets there
-/// about once in e^8, some 3,000, calls that begin anew.
-const BAD_SUM: f64 = 8.0;
-/// The same for a second target: two that fail for reasons of their own are rare.
-const SECOND_BAD_SUM: f64 = 6.0;
-/// Sum at which the version is not found good, and the one after a target was set aside.
-const DOUBTFUL_SUM: f64 = 3.0;
-const SECOND_DOUBTFUL_SUM: f64 = 2.0;
-/// Factor on the calls that are enough once a target was set aside.
-const SECOND_ENOUGH: u32 = 3;
-/// Least share of failures and of slow answers that the old version is taken to have.
-const LEAST_FAILED: f64 = 0.01;
-const LEAST_SLOW: f64 = 0.02;
-/// Factor on the old version's shares that is no reason to think ill of the new one.
-const TOLERANCE: f64 = 1.5;
-/// Further share of failures and of slow answers that the tests look for. Lower shares are
-/// found as well, but later.
-const MORE_FAILED: f64 = 0.10;
-const MORE_SLOW: f64 = 0.15;
-/// Highest share of failures or slow answers that the old version is taken to have: with
-/// more, the test would divide by nearly nothing.
-const MOST: f64 = 0.95;
-/// Classes of time above the old version's median from which an answer is slow: between 2.4
-/// and 3.4 times as long.
-const SLOW_CLASSES: u8 = 3;
-/// Time in microseconds below which no answer is slow: a busy host keeps its processes waiting
-/// that long.
-const LEAST_SLOW_US: u32 = 20_000;
-/// Timed answers of the old version without which no answer counts as slow.
-const BASE_TIMED: f64 = 20.0;
-/// Time after which the old version's calls count half, in microseconds: the new one is
-/// compared with the old one in the same time.
-const BASE_HALF_LIFE_US: f64 = 2_000_000.0;
-/// Bad answers beyond the expected ones at which the version is bad, whichever targets gave
-/// them, but for one that was set aside. It is half of those after which the time for the
-/// roll-back runs.
-const BAD_LIMIT: f64 = 25.0;
-/// Calls without which a version is not found good: of all kinds, and of each that makes up
-/// more than [`MAIN_PART`] of the old version's calls.
-const ENOUGH_CALLS: u32 = 20;
-const ENOUGH_OF_KIND: u32 = 5;
-const MAIN_PART: f64 = 0.05;
-/// Standard deviations, and bad answers, above the expected ones that a good version may have.
+/// Sum of log-likelihood ratios at which a target fails a test. For a good target this happens
+/// about once in e^8 (some 3,000) calls at which the sum starts from zero.
+const BAD_THRESHOLD: f64 = 8.0;
+/// The same for a second target, as it is rare that two fail for unrelated reasons.
+const SECOND_BAD_THRESHOLD: f64 = 6.0;
+/// Sum at which the version is not found good, without and with an excluded target.
+const DOUBTFUL_THRESHOLD: f64 = 3.0;
+const SECOND_DOUBTFUL_THRESHOLD: f64 = 2.0;
+/// Factor on the minimum number of calls once a target was excluded.
+const SECOND_MIN_CALLS_FACTOR: u32 = 3;
+/// Lower bounds for the old version's rates of failures and slow answers.
+const MIN_FAILURE_RATE: f64 = 0.01;
+const MIN_SLOW_RATE: f64 = 0.02;
+/// Factor on the old version's rates that is tolerated in the new one.
+const BASELINE_TOLERANCE: f64 = 1.5;
+/// Increases of the rates of failures and slow answers that the tests are tuned to detect.
+/// Smaller increases are detected as well, but later.
+const FAILURE_RATE_INCREASE: f64 = 0.10;
+const SLOW_RATE_INCREASE: f64 = 0.15;
+/// Upper bound for the old version's rates. Beyond it the test would divide by a number close
+/// to zero.
+const MAX_BASELINE_RATE: f64 = 0.95;
+/// Histogram buckets above the old version's median latency from which an answer is slow:
+/// between 2.4 and 3.4 times the median.
+const SLOW_BUCKETS: u8 = 3;
+/// Latency in microseconds below which no answer is slow, since processes on a busy host are
+/// kept waiting that long.
+const MIN_SLOW_US: u32 = 20_000;
+/// Minimum number of latencies of the old version; with fewer no answer counts as slow.
+const MIN_BASELINE_LATENCIES: f64 = 20.0;
+/// Half-life of the old version's calls, in microseconds, so that both versions are compared
+/// over the same period.
+const BASELINE_HALF_LIFE_US: f64 = 2_000_000.0;
+/// Bad answers beyond the expected number at which the version is bad, whichever targets gave
+/// them, not counting an excluded one. It is half of the bad answers from which the time limit
+/// for the roll-back is counted.
+const MAX_EXCESS_BAD: f64 = 25.0;
+/// Minimum number of calls for a version to be found good: over all kinds, and of each kind
+/// that makes up at least [`MAIN_KIND_SHARE`] of the old version's calls.
+const MIN_CALLS: u32 = 20;
+const MIN_CALLS_PER_KIND: u32 = 5;
+const MAIN_KIND_SHARE: f64 = 0.05;
+/// Bad answers that a good version may have beyond the expected number: in standard deviations,
+/// and in answers on top of these.
 const GOOD_DEVIATIONS: f64 = 2.5;
 const GOOD_ALLOWANCE: f64 = 1.0;
-/// Targets that must have given bad answers for the test of all of them to speak against the
-/// version, and the part of the bad answers, as a divisor, that one of them may have given.
-const POOLED_TARGETS: usize = 3;
-const POOLED_PART: u32 = 2;
-/// Halves whose evidence is kept at most.
-const HALVES_LIMIT: usize = 512;
-
-/// What speaks against a version.
+/// Targets that must have given bad answers for the version to fail the pooled test, and the
+/// greatest share of the bad answers, as a divisor, that one of them may have given.
+const MIN_POOLED_TARGETS: usize = 3;
+const MAX_POOLED_SHARE_DIVISOR: u32 = 2;
+/// Maximum number of targets, counted by host and daemon incarnation, whose evidence is kept.
+const MAX_TARGETS: usize = 512;
+
+/// Why a version is bad.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     /// Its targets fail calls.
     Failures,
-    /// Its targets are slow.
+    /// Its targets are too often slow.
     Slowness,
-    /// It gave too many bad answers in all.
+    /// It gave too many bad answers in total, or its only target was excluded.
     TooManyBad,
 }
 
@@ -84,90 +85,93 @@
 pub enum Readiness {
     /// Enough calls went well.
     Good,
-    /// Too few calls were made to say.
+    /// Too few calls were made to decide.
     TooFew,
-    /// Something speaks against it, if not enough to call it bad.
+    /// It gave more bad answers than a good version would, but not enough to be called bad.
     Doubtful,
 }
 
-/// Recent calls of one kind at one target of the old version.
+/// Recent calls of one kind at one target of the old version, with exponential decay.
 #[derive(Clone, Debug, Default)]
-struct HostBase {
+struct TargetBaseline {
     calls: f64,
     failed: f64,
-    times: BTreeMap<u8, f64>,
-    at: Micros,
+    latencies: BTreeMap<u8, f64>,
+    updated: Micros,
 }
 
-impl HostBase {
-    fn add(&mut self, now: Micros, more: &Tally) {
-        let age = now.saturating_sub(self.at) as f64;
-        let kept = (-age / BASE_HALF_LIFE_US).exp2();
-        self.at = now;
-        self.calls = self.calls * kept + f64::from(more.calls);
-        self.failed = self.failed * kept + f64::from(more.failed);
-        for count in self.times.values_mut() {
-            *count *= kept;
+impl TargetBaseline {
+    fn add(&mut self, now: Micros, added: &CallCounts) {
+        let age = now.saturating_sub(self.updated) as f64;
+        let decay = (-age / BASELINE_HALF_LIFE_US).exp2();
+        self.updated = now;
+        self.calls = self.calls * decay + f64::from(added.calls);
+        self.failed = self.failed * decay + f64::from(added.failed);
+        for count in self.latencies.values_mut() {
+            *count *= decay;
         }
-        for (class, count) in &more.times {
-            *self.times.entry(*class).or_default() += f64::from(*count);
+        for (bucket, count) in &added.latencies {
+            *self.latencies.entry(*bucket).or_default() += f64::from(*count);
         }
     }
 
-    fn timed(&self) -> f64 {
-        self.times.values().sum()
+    fn latency_count(&self) -> f64 {
+        self.latencies.values().sum()
     }
 
-    fn slow(&self, slow_from: u8) -> f64 {
-        self.times.range(slow_from..).map(|(_, count)| count).sum()
+    fn slow_count(&self, slow_bucket: u8) -> f64 {
+        self.latencies
+            .range(slow_bucket..)
+            .map(|(_, count)| count)
+            .sum()
     }
 }
 
 /// Recent calls of the old version of one kind, by target.
 #[derive(Clone, Debug, Default)]
-struct Base {
-    hosts: BTreeMap<String, HostBase>,
+struct KindBaseline {
+    hosts: BTreeMap<String, TargetBaseline>,
 }
 
-impl Base {
+impl KindBaseline {
     fn calls(&self) -> f64 {
         self.hosts.values().map(|host| host.calls).sum()
     }
 
-    /// The lowest class that is slow, once enough answers were timed.
-    fn slow_from(&self) -> Option<u8> {
-        let timed: f64 = self.hosts.values().map(HostBase::timed).sum();
-        if timed < BASE_TIMED {
+    /// The lowest histogram bucket that is slow, once enough latencies are known.
+    fn slow_bucket(&self) -> Option<u8> {
+        let latency_count: f64 = self.hosts.values().map(TargetBaseline::latency_count).sum();
+        if latency_count < MIN_BASELINE_LATENCIES {
             return None;
         }
-        let mut times: BTreeMap<u8, f64> = BTreeMap::new();
-        for (class, count) in self.hosts.values().flat_map(|host| &host.times) {
-            *times.entry(*class).or_default() += count;
+        let mut histogram: BTreeMap<u8, f64> = BTreeMap::new();
+        for (bucket, count) in self.hosts.values().flat_map(|host| &host.latencies) {
+            *histogram.entry(*bucket).or_default() += count;
         }
         let mut below = 0.0;
-        let median = times.iter().find(|(_, count)| {
+        let median = histogram.iter().find(|(_, count)| {
             below += **count;
-            below * 2.0 >= timed
+            below * 2.0 >= latency_count
         });
-        let least = time_class(LEAST_SLOW_US);
-        median.map(|(class, _)| class.saturating_add(SLOW_CLASSES).max(least))
+        let min_slow_bucket = latency_bucket(MIN_SLOW_US);
+        median.map(|(bucket, _)| bucket.saturating_add(SLOW_BUCKETS).max(min_slow_bucket))
     }
 
-    fn failed_share(&self) -> f64 {
-        let shares = self.hosts.values().map(|host| (host.failed, host.calls));
-        (share_without_worst(shares) * TOLERANCE).clamp(LEAST_FAILED, MOST)
+    fn failure_rate(&self) -> f64 {
+        let counts = self.hosts.values().map(|host| (host.failed, host.calls));
+        (rate_without_worst(counts) * BASELINE_TOLERANCE).clamp(MIN_FAILURE_RATE, MAX_BASELINE_RATE)
     }
 
-    fn slow_share(&self, slow_from: u8) -> f64 {
+    fn slow_rate(&self, slow_bucket: u8) -> f64 {
         let hosts = self.hosts.values();
-        let shares = hosts.map(|host| (host.slow(slow_from), host.timed()));
-        (share_without_worst(shares) * TOLERANCE).clamp(LEAST_SLOW, MOST)
+        let counts = hosts.map(|host| (host.slow_count(slow_bucket), host.latency_count()));
+        (rate_without_worst(counts) * BASELINE_TOLERANCE).clamp(MIN_SLOW_RATE, MAX_BASELINE_RATE)
     }
 }
 
-/// Share of bad ones among calls, without the target that has most of them: one that is ill
-/// says nothing of its version.
-fn share_without_worst(hosts: impl Iterator<Item = (f64, f64)>) -> f64 {
+/// Rate of bad answers over all targets but the one that gave most of them, since a single
+/// faulty target says nothing about its version. Takes the bad answers and the calls of each.
+fn rate_without_worst(hosts: impl Iterator<Item = (f64, f64)>) -> f64 {
     let mut hosts: Vec<(f64, f64)> = hosts.collect();
     hosts.sort_by(|one, other| other.0.total_cmp(&one.0));
     let kept = if hosts.len() > 1 {
@@ -181,49 +185,49 @@
     bad / f64::max(calls, 1.0)
 }
 
-/// Calls that came since the last look, and the bad ones among them.
+/// Calls since the previous evidence of a target, and the bad answers among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     calls: u32,
     bad: u32,
-    /// Share of bad ones that is expected.
-    expected: f64,
+    /// Rate of bad answers that is expected.
+    expected_rate: f64,
 }
 
 impl Sample {
-    /// Log-likelihood of this sample for a version with `more` bad answers, against one with
-    /// the expected share.
-    fn speaks_against(self, more: f64) -> f64 {
-        let usual = self.expected;
-        let bad = (usual + more).min((1.0 + usual) / 2.0);
+    /// Log-likelihood ratio of this sample: a version whose rate of bad answers is higher by
+    /// `increase`, against one with the expected rate.
+    fn log_likelihood_ratio(self, increase: f64) -> f64 {
+        let expected = self.expected_rate;
+        let bad_rate = (expected + increase).min((1.0 + expected) / 2.0);
         let good = self.calls.saturating_sub(self.bad);
-        f64::from(self.bad) * (bad / usual).ln()
-            + f64::from(good) * ((1.0 - bad) / (1.0 - usual)).ln()
+        f64::from(self.bad) * (bad_rate / expected).ln()
+            + f64::from(good) * ((1.0 - bad_rate) / (1.0 - expected)).ln()
     }
 }
 
-/// The tests of one target, for one kind of call or all.
+/// Cumulative sums of the tests for failures and for slow answers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tests {
+struct CusumTests {
     failures: f64,
     slowness: f64,
 }
 
-impl Tests {
+impl CusumTests {
     fn add(&mut self, failures: Sample, slowness: Sample) {
         if failures.calls > 0 {
-            let sum = self.failures + failures.speaks_against(MORE_FAILED);
+            let sum = self.failures + failures.log_likelihood_ratio(FAILURE_RATE_INCREASE);
             self.failures = sum.max(0.0);
         }
         if slowness.calls > 0 {
-            let sum = self.slowness + slowness.speaks_against(MORE_SLOW);
+            let sum = self.slowness + slowness.log_likelihood_ratio(SLOW_RATE_INCREASE);
             self.slowness = sum.max(0.0);
         }
     }
 
-    /// What speaks against the target with sums of `limit`.
-    fn fault(&self, limit: f64) -> Option<Fault> {
-        match (self.failures >= limit, self.slowness >= limit) {
+    /// The test that failed, if a sum reached `threshold`.
+    fn fault(&self, threshold: f64) -> Option<Fault> {
+        match (self.failures >= threshold, self.slowness >= threshold) {
             (true, _) => Some(Fault::Failures),
             (false, true) => Some(Fault::Slowness),
             (false, false) => None,
@@ -231,7 +235,7 @@
     }
 }
 
-/// Calls and bad answers of a target.
+/// Calls and bad answers, with the expected number of bad answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     calls: u32,
@@ -245,126 +249,144 @@
             self.calls = self.calls.saturating_add(sample.calls);
         }
         self.bad = self.bad.saturating_add(sample.bad);
-        self.expected += f64::from(sample.calls) * sample.expected;
+        self.expected += f64::from(sample.calls) * sample.expected_rate;
     }
 }
 
-/// Weighs the evidence about one order.
+/// The canary analysis of one order.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
-    /// What of each half's evidence was weighed.
-    weighed: HashMap<(String, u64), HalfEvidence>,
-    base: BTreeMap<CallKind, Base>,
-    tests: HashMap<(String, Option<CallKind>), Tests>,
+pub struct CanaryAnalysis {
+    /// The part of each target's evidence that was analysed, by host and incarnation.
+    processed: HashMap<(String, u64), TargetEvidence>,
+    baseline: BTreeMap<CallKind, KindBaseline>,
+    /// The tests of each target, by kind of call and over all kinds.
+    tests: HashMap<(String, Option<CallKind>), CusumTests>,
     /// The tests of all targets together.
-    pooled: HashMap<Option<CallKind>, Tests>,
+    pooled: HashMap<Option<CallKind>, CusumTests>,
     totals: BTreeMap<(String, CallKind), Total>,
-    set_aside: BTreeSet<String>,
+    excluded: BTreeSet<String>,
     fault: Option<Fault>,
 }
 
-impl Judge {
-    /// Takes a half's evidence; `is_new` says whether its target has the new version. Old and
-    /// repeated copies change nothing.
-    pub fn take(&mut self, now: Micros, evidence: &HalfEvidence, is_new: bool) {
+impl CanaryAnalysis {
+    /// Adds the evidence of one target; `is_new` says whether the target has the new version.
+    /// Old and repeated copies change nothing.
+    pub fn add_evidence(&mut self, now: Micros, evidence: &TargetEvidence, is_new: bool) {
         let id = (evidence.host.clone(), evidence.incarnation);
-        if !self.weighed.contains_key(&id) && self.weighed.len() >= HALVES_LIMIT {
+        if !self.processed.contains_key(&id) && self.processed.len() >= MAX_TARGETS {
             return;
         }
-        let mut weighed = self.weighed.remove(&id).unwrap_or_default();
-        for (kind, tally) in evidence.kinds.iter().take(KINDS_LIMIT) {
-            let before = weighed.kinds.entry(*kind).or_default();
+        let mut processed = self.processed.remove(&id).unwrap_or_default();
+        for (kind, counts) in evidence.kinds.iter().take(MAX_KINDS) {
+            let before = processed.kinds.entry(*kind).or_default();
             match is_new {
-                true => self.weigh(&evidence.host, *kind, tally, before),
-                false => self.learn(now, &evidence.host, *kind, tally, before),
+                true => self.add_canary(&evidence.host, *kind, counts, before),
+                false => self.add_baseline(now, &evidence.host, *kind, counts, before),
             }
-            let has_base = self.slow_from(*kind).is_some();
-            match is_new && !has_base {
-                // Its times are weighed once there is something to compare them with.
-                true => before.merge_failures(tally),
-                false => before.merge(tally),
+            let has_baseline = self.slow_bucket(*kind).is_some();
+            match is_new && !has_baseline {
+                // Its latencies are analysed once there is a baseline to compare them with.
+                true => before.merge_totals(counts),
+                false => before.merge(counts),
             }
         }
-        self.weighed.insert(id, weighed);
+        self.processed.insert(id, processed);
     }
 
-    fn slow_from(&self, kind: CallKind) -> Option<u8> {
-        self.base.get(&kind)?.slow_from()
+    fn slow_bucket(&self, kind: CallKind) -> Option<u8> {
+        self.baseline.get(&kind)?.slow_bucket()
     }
 
-    /// The old version's calls.
-    fn learn(&mut self, now: Micros, host: &str, kind: CallKind, tally: &Tally, before: &Tally) {
-        let more = Tally {
-            calls: tally.calls.saturating_sub(before.calls),
-            failed: tally.failed.saturating_sub(before.failed),
-            times: since(&tally.times, &before.times),
-            cut: BTreeMap::new(),
+    /// Adds new calls of the old version to the baseline.
+    fn add_baseline(
+        &mut self,
+        now: Micros,
+        host: &str,
+        kind: CallKind,
+        counts: &CallCounts,
+        before: &CallCounts,
+    ) {
+        let added = CallCounts {
+            calls: counts.calls.saturating_sub(before.calls),
+            failed: counts.failed.saturating_sub(before.failed),
+            latencies: bucket_increase(&counts.latencies, &before.latencies),
+            aborted: BTreeMap::new(),
         };
-        if more.calls > 0 {
-            let base = self.base.entry(kind).or_default();
-            let known = base.hosts.entry(host.to_owned()).or_default();
-            known.add(now, &more);
+        if added.calls > 0 {
+            let baseline = self.baseline.entry(kind).or_default();
+            let target = baseline.hosts.entry(host.to_owned()).or_default();
+            target.add(now, &added);
         }
     }
 
-    /// The new version's calls.
-    fn weigh(&mut self, host: &str, kind: CallKind, tally: &Tally, before: &Tally) {
-        let base = self.base.get(&kind).cloned().unwrap_or_default();
+    /// Tests new calls of the new version against the baseline.
+    fn add_canary(&mut self, host: &str, kind: CallKind, counts: &CallCounts, before: &CallCounts) {
+        let baseline = self.baseline.get(&kind).cloned().unwrap_or_default();
         let failures = Sample {
-            calls: tally.calls.saturating_sub(before.calls),
-            bad: tally.failed.saturating_sub(before.failed),
-            expected: base.failed_share(),
+            calls: counts.calls.saturating_sub(before.calls),
+            bad: counts.failed.saturating_sub(before.failed),
+            expected_rate: baseline.failure_rate(),
         };
-        let slowness = base.slow_from().map(|slow_from| {
-            let times = since(&tally.times, &before.times);
-            let cut = since(&tally.cut, &before.cut);
-            let slow = |classes: &BTreeMap<u8, u32>| -> u32 {
-                classes.range(slow_from..).map(|(_, count)| count).sum()
+        let slowness = baseline.slow_bucket().map(|slow_bucket| {
+            let latencies = bucket_increase(&counts.latencies, &before.latencies);
+            let aborted = bucket_increase(&counts.aborted, &before.aborted);
+            let slow = |buckets: &BTreeMap<u8, u32>| -> u32 {
+                buckets.range(slow_bucket..).map(|(_, count)| count).sum()
             };
             Sample {
-                calls: times.values().sum::<u32>() + slow(&cut),
-                bad: slow(&times) + slow(&cut),
-                expected: base.slow_share(slow_from),
+                calls: latencies.values().sum::<u32>() + slow(&aborted),
+                bad: slow(&latencies) + slow(&aborted),
+                expected_rate: baseline.slow_rate(slow_bucket),
             }
         });
         let slowness = slowness.unwrap_or_default();
         let total = self.totals.entry((host.to_owned(), kind)).or_default();
         total.add(failures, true);
         total.add(slowness, false);
-        self.test(host, Some(kind), failures, slowness);
-        self.test(host, None, failures, slowness);
-        if !self.set_aside.contains(host) {
-            self.test_pooled(Some(kind), failures, slowness);
-            self.test_pooled(None, failures, slowness);
+        self.update_tests(host, Some(kind), failures, slowness);
+        self.update_tests(host, None, failures, slowness);
+        if !self.excluded.contains(host) {
+            self.update_pooled_tests(Some(kind), failures, slowness);
+            self.update_pooled_tests(None, failures, slowness);
         }
-        self.limit_bad();
+        self.check_excess();
     }
 
-    fn test(&mut self, host: &str, kind: Option<CallKind>, failures: Sample, slowness: Sample) {
+    fn update_tests(
+        &mut self,
+        host: &str,
+        kind: Option<CallKind>,
+        failures: Sample,
+        slowness: Sample,
+    ) {
         let tests = self.tests.entry((host.to_owned(), kind)).or_default();
         tests.add(failures, slowness);
-        let others = self.set_aside.iter().any(|aside| aside != host);
-        let limit = if others { SECOND_BAD_SUM } else { BAD_SUM };
-        let Some(fault) = tests.fault(limit) else {
+        let has_other_excluded = self.excluded.iter().any(|excluded| excluded != host);
+        let threshold = if has_other_excluded {
+            SECOND_BAD_THRESHOLD
+        } else {
+            BAD_THRESHOLD
+        };
+        let Some(fault) = tests.fault(threshold) else {
             return;
         };
-        self.set_aside.insert(host.to_owned());
-        if self.set_aside.len() > 1 {
+        self.excluded.insert(host.to_owned());
+        if self.excluded.len() > 1 {
             self.fault.get_or_insert(fault);
         }
     }
 
-    fn test_pooled(&mut self, kind: Option<CallKind>, failures: Sample, slowness: Sample) {
+    fn update_pooled_tests(&mut self, kind: Option<CallKind>, failures: Sample, slowness: Sample) {
         let tests = self.pooled.entry(kind).or_default();
         tests.add(failures, slowness);
-        let fault = tests.fault(BAD_SUM);
-        if fault.is_some() && self.bad_is_spread(kind) {
+        let fault = tests.fault(BAD_THRESHOLD);
+        if fault.is_some() && self.are_bad_answers_spread(kind) {
             self.fault = self.fault.or(fault);
         }
     }
 
-    /// Whether several targets gave the bad answers, and none of them most.
-    fn bad_is_spread(&self, kind: Option<CallKind>) -> bool {
+    /// Whether several targets gave the bad answers, and none of them more than its share.
+    fn are_bad_answers_spread(&self, kind: Option<CallKind>) -> bool {
         let mut by_host: BTreeMap<&str, u32> = BTreeMap::new();
         for ((host, of), total) in &self.totals {
             if total.bad > 0 && kind.is_none_or(|kind| kind == *of) {
@@ -373,33 +395,33 @@
         }
         let all: u32 = by_host.values().sum();
         let most = by_host.values().max().copied().unwrap_or(0);
-        by_host.len() >= POOLED_TARGETS && most * POOLED_PART <= all
+        by_host.len() >= MIN_POOLED_TARGETS && most * MAX_POOLED_SHARE_DIVISOR <= all
     }
 
-    fn limit_bad(&mut self) {
+    fn check_excess(&mut self) {
         let totals = self.totals.iter();
-        let kept = totals.filter(|((host, _), _)| !self.set_aside.contains(host));
+        let kept = totals.filter(|((host, _), _)| !self.excluded.contains(host));
         let excess: f64 = kept
             .map(|(_, total)| f64::from(total.bad) - total.expected)
             .sum();
-        if excess >= BAD_LIMIT {
+        if excess >= MAX_EXCESS_BAD {
             self.fault.get_or_insert(Fault::TooManyBad);
         }
     }
 
-    /// What speaks against the version, where `targets` are known to have it.
+    /// Why the version is bad, if it is; `targets` is the number of targets known to have it.
     pub fn fault(&self, targets: usize) -> Option<Fault> {
-        let is_alone = targets <= 1 && !self.set_aside.is_empty();
-        self.fault.or(is_alone.then_some(Fault::TooManyBad))
+        let is_only_target = targets <= 1 && !self.excluded.is_empty();
+        self.fault.or(is_only_target.then_some(Fault::TooManyBad))
     }
 
-    /// Hosts of targets that spoke against the version and are tried no more.
-    pub fn set_aside(&self) -> &BTreeSet<String> {
-        &self.set_aside
+    /// Hosts of targets that failed a test and get no more canary calls.
+    pub fn excluded_hosts(&self) -> &BTreeSet<String> {
+        &self.excluded
     }
 
-    /// Calls and bad answers of the new version that were told of.
-    pub fn seen(&self) -> (u32, u32) {
+    /// Calls and bad answers of the new version in the evidence so far.
+    pub fn observed_calls(&self) -> (u32, u32) {
         let totals = self.totals.values();
         totals.fold((0, 0), |(calls, bad), total| {
             (
@@ -411,45 +433,46 @@
 
     /// Whether the version is fit to take all calls.
     pub fn readiness(&self) -> Readiness {
-        let (factor, suspect_sum) = match self.set_aside.is_empty() {
-            true => (1, DOUBTFUL_SUM),
-            false => (SECOND_ENOUGH, SECOND_DOUBTFUL_SUM),
+        let (factor, doubtful_threshold) = match self.excluded.is_empty() {
+            true => (1, DOUBTFUL_THRESHOLD),
+            false => (SECOND_MIN_CALLS_FACTOR, SECOND_DOUBTFUL_THRESHOLD),
         };
         let all = self.total(None);
-        if all.calls < ENOUGH_CALLS * factor || !self.has_main_kinds(ENOUGH_OF_KIND * factor) {
+        if all.calls < MIN_CALLS * factor || !self.has_enough_per_kind(MIN_CALLS_PER_KIND * factor)
+        {
             return Readiness::TooFew;
         }
-        let mut kinds: Vec<Option<CallKind>> = self.base.keys().copied().map(Some).collect();
+        let mut kinds: Vec<Option<CallKind>> = self.baseline.keys().copied().map(Some).collect();
         kinds.push(None);
-        let is_doubted = |kind: Option<CallKind>| {
+        let has_excess = |kind: Option<CallKind>| {
             let total = self.total(kind);
             let allowed = total.expected + GOOD_DEVIATIONS * total.expected.sqrt() + GOOD_ALLOWANCE;
             f64::from(total.bad) > allowed
         };
         let tests = self.tests.iter();
-        let mut kept = tests.filter(|((host, _), _)| !self.set_aside.contains(host));
-        let is_suspect = |tests: &Tests| tests.failures.max(tests.slowness) >= suspect_sum;
-        match kinds.into_iter().any(is_doubted) || kept.any(|(_, tests)| is_suspect(tests)) {
+        let mut kept = tests.filter(|((host, _), _)| !self.excluded.contains(host));
+        let is_doubtful =
+            |tests: &CusumTests| tests.failures.max(tests.slowness) >= doubtful_threshold;
+        match kinds.into_iter().any(has_excess) || kept.any(|(_, tests)| is_doubtful(tests)) {
             true => Readiness::Doubtful,
             false => Readiness::Good,
         }
     }
 
-    /// Whether each kind that makes up a good part of the calls was tried.
-    fn has_main_kinds(&self, enough: u32) -> bool {
-        let all: f64 = self.base.values().map(Base::calls).sum();
-        let mut main = self
-            .base
-            .iter()
-            .filter(|(_, base)| base.calls() >= MAIN_PART * all && base.calls() > 0.0);
-        main.all(|(kind, _)| self.total(Some(*kind)).calls >= enough)
+    /// Whether the new version got at least `min_calls` calls of each main kind.
+    fn has_enough_per_kind(&self, min_calls: u32) -> bool {
+        let all: f64 = self.baseline.values().map(KindBaseline::calls).sum();
+        let mut main = self.baseline.iter().filter(|(_, baseline)| {
+            baseline.calls() >= MAIN_KIND_SHARE * all && baseline.calls() > 0.0
+        });
+        main.all(|(kind, _)| self.total(Some(*kind)).calls >= min_calls)
     }
 
-    /// The calls of a kind, or of all, at targets that are not set aside.
+    /// Totals of a kind of call, or of all kinds, over the targets that are not excluded.
     fn total(&self, kind: Option<CallKind>) -> Total {
         let totals = self.totals.iter();
         let wanted = totals.filter(|((host, of), _)| {
-            kind.is_none_or(|kind| kind == *of) && !self.set_aside.contains(host)
+            kind.is_none_or(|kind| kind == *of) && !self.excluded.contains(host)
         });
         wanted.fold(Total::default(), |sum, (_, total)| Total {
             calls: sum.calls.saturating_add(total.calls),
@@ -459,11 +482,11 @@
     }
 }
 
-/// What was added to counts since a copy of them.
-fn since(counts: &BTreeMap<u8, u32>, before: &BTreeMap<u8, u32>) -> BTreeMap<u8, u32> {
-    let more = counts.iter().map(|(class, count)| {
-        let known = before.get(class).copied().unwrap_or(0);
-        (*class, count.saturating_sub(known))
+/// The increase of each histogram bucket since an earlier copy.
+fn bucket_increase(counts: &BTreeMap<u8, u32>, before: &BTreeMap<u8, u32>) -> BTreeMap<u8, u32> {
+    let more = counts.iter().map(|(bucket, count)| {
+        let known = before.get(bucket).copied().unwrap_or(0);
+        (*bucket, count.saturating_sub(known))
     });
     more.filter(|(_, count)| *count > 0).collect()
 }
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -1,19 +1,21 @@
-//! Progressive rollouts: moving a service's calls to targets of another version, and back
-//! where that version is bad.
+//! Progressive rollouts: move a service's calls to targets of another version, and back if
+//! that version is bad.
 //!
-//! *Exposure* is bounded by each router for its own calls, *evidence* is counted by target
-//! halves, the *judge* weighs it, and the *phase* machine says what a daemon does about it.
+//! Each router limits the exposure of its own calls (`exposure`, `routing`). The daemons of
+//! the targets count outcomes (`evidence`), which every daemon analyses (`analysis`), and a
+//! state machine decides on the next step (`phase`).
 
+mod analysis;
 mod evidence;
 mod exposure;
-mod judge;
-mod lanes;
 mod phase;
+mod routing;
 
-pub use evidence::{HalfEvidence, Outcome, Tally};
-pub use exposure::{CANARY_PART, Exposure, RolloutTargets, canary_width};
-pub use judge::{Fault, Judge, Readiness};
-pub(crate) use lanes::RolloutLanes;
+pub use analysis::{CanaryAnalysis, Fault, Readiness};
+pub use evidence::{CallCounts, Outcome, TargetEvidence};
+pub use exposure::{CANARY_SHARE_FACTOR, Exposure, RolloutTargets, canary_target_count};
 pub use phase::{
-    Admits, Cause, Members, Phase, Rollout, RolloutNews, RolloutOrder, Rollouts, Step, Taken,
+    AdmittedCalls, Cause, MemberSummary, Phase, Rollout, RolloutChange, RolloutOrder,
+    RolloutUpdate, Rollouts, Step,
 };
+pub(crate) use routing::RolloutRouting;
--- a/crates/policy/src/rollout/phase.rs
+++ b/crates/policy/src/rollout/phase.rs
@@ -1,67 +1,70 @@
-//! What one daemon believes of the rollout of a service, and what it does next.
+//! The rollout state machine that each daemon runs for a service.
 //!
-//! A rollout goes from running to moving, when old targets get no new calls, and ends as done
-//! or reverted. An end that stands in the store is final. Before that, reverted outweighs
-//! moving: whoever finds the version bad need ask nobody.
+//! A rollout goes from running to moving, in which old targets get no new calls, and ends as
+//! done or reverted. An end that is recorded in the status row is final. Before that, reverted
+//! takes precedence over moving, so a daemon that finds the version bad can revert without
+//! agreement from the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::HalfEvidence;
-use super::judge::{Fault, Judge, Readiness};
+use super::analysis::{CanaryAnalysis, Fault, Readiness};
+use super::evidence::TargetEvidence;
 use crate::ids::Micros;
 
-/// Time before the deadline at which the move begins: calls in hand end within it, and the
-/// status row is written. A longer one exposes more before the version is settled.
-const MOVE_US: Micros = 1_600_000;
-/// Part of the time of the whole rollout that the move takes at most, as a divisor.
-const MOVE_PART: Micros = 5;
-/// Last part of the time kept for the move, as a divisor: a version that was not found good
-/// when it begins is reverted, so that the status row can be written before the deadline.
-const LAST_PART: Micros = 3;
+/// Time before the deadline at which the move begins, so that calls in flight end and the
+/// status row is written in time. A longer one exposes more calls to a version that is not yet
+/// settled.
+const MOVE_LEAD_US: Micros = 1_600_000;
+/// Limits the lead of the move to one part in this many of the rollout's time limit.
+const MOVE_LEAD_DIVISOR: Micros = 5;
+/// The last part of the move's lead, as a divisor. A version that was not found good when it
+/// begins is reverted, so that the status row can be written before the deadline.
+const REVERT_LEAD_DIVISOR: Micros = 3;
 /// Time before the deadline, in microseconds, from which "done" may be written. It can't be
-/// undone, so the new version is first watched under the whole load.
-const FINISH_US: Micros = 800_000;
-/// The same where some old targets could not be reached: they are waited for longer.
-const WRITE_US: Micros = 250_000;
-/// Part of the old targets, as a divisor, that must be there of the new version: fewer could
-/// not bear the calls.
-const LEAST_TARGETS: usize = 4;
-/// Time from the move's beginning until halves of old targets refuse calls, in microseconds:
-/// by then every router that a link leads to has heard of it and offers none.
-const SPREAD_US: Micros = 200_000;
-/// Longest time of a rollout, in microseconds: a day. A longer one counts as that.
-const LONGEST_US: Micros = 86_400_000_000;
-/// Time after the move began before which it does not end, in microseconds: by then halves of
-/// old targets refuse calls, and have said whether they are idle.
-const LEAST_MOVE_US: Micros = 600_000;
-/// Hosts that are kept as idle at most.
-const IDLE_LIMIT: usize = 4_096;
-/// Services and versions that are kept at most; further orders are refused.
-const SERVICES_LIMIT: usize = 256;
-const BARRED_LIMIT: usize = 32;
+/// undone, so the new version is first observed under the whole load.
+const DONE_LEAD_US: Micros = 800_000;
+/// The same where some old targets could not be reached, which are waited for longer.
+const UNREACHABLE_DONE_LEAD_US: Micros = 250_000;
+/// The new version must have at least one target for this many old ones; fewer could not
+/// carry the load.
+const MIN_TARGETS_DIVISOR: usize = 4;
+/// Time from the beginning of the move until old targets refuse calls, in microseconds. By
+/// then every router with a link to them has received the update and offers them none.
+const PROPAGATION_US: Micros = 200_000;
+/// Upper bound of a rollout's time limit, in microseconds: one day. Longer limits are clamped.
+const MAX_ROLLOUT_US: Micros = 86_400_000_000;
+/// Minimum duration of the move, in microseconds. By then old targets refuse calls and have
+/// reported whether they are idle.
+const MIN_MOVE_US: Micros = 600_000;
+/// Maximum number of hosts remembered as idle.
+const MAX_IDLE_HOSTS: usize = 4_096;
+/// Maximum number of services with a rollout; orders for further services are dropped.
+const MAX_SERVICES: usize = 256;
+/// Maximum number of versions in each of a rollout's version lists.
+const MAX_VERSIONS: usize = 32;
 
 /// An order to move a service to a version of its targets.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
-    /// The version; absent where an earlier order is taken back.
-    pub target: Option<String>,
+    /// The version to move to; absent where an earlier order is withdrawn.
+    pub version: Option<String>,
     /// Version that the store gave to the order's row; a later order has a higher one.
     pub number: u64,
-    /// Time within which it is to be done, in microseconds.
-    pub within_us: Micros,
+    /// Time within which the rollout must be completed, in microseconds.
+    pub time_limit_us: Micros,
 }
 
-/// Where a rollout stands.
+/// State of a rollout.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// The new version gets its share of the calls.
+    /// The new version gets its canary share of the calls.
     Running,
-    /// Old targets get no new calls and finish what they have.
+    /// Old targets get no new calls and finish those in flight.
     Moving,
     /// All calls go to the new version.
     Done,
@@ -74,21 +77,21 @@
 pub enum Cause {
     /// The version is bad.
     Bad(Fault),
-    /// Too few calls were made to find it good in time.
+    /// It got too few calls before the deadline to be found good.
     TooFewCalls,
-    /// It was not good enough at the end, if not bad enough before.
+    /// At the deadline it was neither bad enough to be rejected nor good enough to pass.
     Doubtful,
     /// No target of that version takes calls.
     NoTargets,
-    /// Far fewer targets of that version take calls than of the old ones.
+    /// Far fewer targets of that version than of the old ones take calls.
     TooFewTargets,
-    /// The order was taken back.
+    /// The order was withdrawn.
     TakenBack,
 }
 
-/// What daemons tell each other of a rollout.
+/// State of a rollout as daemons exchange it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// The service.
     #[serde(rename = "s")]
     pub service: String,
@@ -97,72 +100,72 @@
     pub number: u64,
     /// The new version.
     #[serde(rename = "t")]
-    pub target: String,
+    pub version: String,
     /// Time left until the deadline, in microseconds.
     #[serde(rename = "l")]
-    pub left_us: Micros,
-    /// Time of the whole rollout, in microseconds.
+    pub remaining_us: Micros,
+    /// Time limit of the whole rollout, in microseconds.
     #[serde(rename = "w")]
-    pub within_us: Micros,
-    /// Where it stands.
+    pub time_limit_us: Micros,
+    /// Phase of the rollout.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Whether that stands in the status row.
+    /// Whether the phase is recorded in the status row.
     #[serde(rename = "d", default, skip_serializing_if = "std::ops::Not::not")]
     pub stored: bool,
-    /// Version of the status row as last seen; 0 where it was not.
+    /// Last known version of the status row; 0 where none was read.
     #[serde(rename = "n", default)]
-    pub row: u64,
-    /// Versions of orders that were not done, which get no calls either.
+    pub row_version: u64,
+    /// Versions of earlier orders that were not completed; they get no calls.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub barred: Vec<String>,
-    /// Versions that the calls are moved away from, as far as they were seen.
+    pub excluded: Vec<String>,
+    /// Known versions that calls are moved away from.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub old: Vec<String>,
 }
 
 /// Which calls a target of some version may get.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admits {
+pub enum AdmittedCalls {
     /// Any.
     All,
-    /// Those that a router counts as a part of its canary share.
+    /// Those that a router counts towards its canary share.
     Canary,
     /// None.
-    Nothing,
+    None,
 }
 
-/// What a daemon knows of the members of the service.
+/// What a daemon knows of the targets of the service.
 #[derive(Clone, Debug, Default)]
-pub struct Members {
-    /// Versions of targets that take calls, with their number.
-    pub versions: BTreeMap<String, usize>,
-    /// Whether every other target than those of the new version is idle, or can't be reached.
-    pub old_idle: bool,
-    /// Whether any of them was only passed over since it can't be reached.
-    pub any_unheard: bool,
+pub struct MemberSummary {
+    /// Number of targets that take calls, by version.
+    pub targets_by_version: BTreeMap<String, usize>,
+    /// Whether every target of another version than the new one is idle or unreachable.
+    pub all_old_idle: bool,
+    /// Whether any of them was skipped because it is unreachable.
+    pub any_unreachable: bool,
 }
 
 /// What a daemon does next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// The move begins: it is told to all.
+    /// Begin the move and announce it to all daemons.
     Move,
-    /// It is over: that is told to all, and written.
+    /// Revert, announce it to all daemons and write it to the status row.
     Revert(Cause),
-    /// It may be written that it is done; that counts once it stands there.
+    /// Write "done" to the status row; it takes effect once the write succeeds.
     Finish,
 }
 
-/// What news changed.
+/// What applying an update or an order changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum RolloutChange {
     /// Nothing.
-    Nothing,
-    /// A deadline or the version of the status row, which is no news for others.
-    Detail,
-    /// The order or the phase.
-    News,
+    None,
+    /// The deadline or the version of the status row, which other daemons need not be sent.
+    Local,
+    /// The order, the phase or the final set of old versions; relayed to other daemons.
+    Relay,
 }
 
 /// The rollout of one service.
@@ -170,37 +173,37 @@
 pub struct Rollout {
     service: String,
     number: u64,
-    target: String,
+    version: String,
     deadline: Micros,
-    within_us: Micros,
+    time_limit_us: Micros,
     phase: Phase,
     stored: bool,
-    row: u64,
-    barred: BTreeSet<String>,
-    /// Versions of old targets, as seen while it went on.
+    row_version: u64,
+    excluded: BTreeSet<String>,
+    /// Versions of old targets seen during the rollout.
     old: BTreeSet<String>,
-    judge: Judge,
+    analysis: CanaryAnalysis,
     idle: BTreeSet<String>,
-    /// When the phase began, as far as is known here.
-    since: Micros,
+    /// When this daemon entered the phase or learned of it.
+    phase_started: Micros,
 }
 
 impl Rollout {
-    fn new(now: Micros, news: &RolloutNews) -> Self {
+    fn new(now: Micros, update: &RolloutUpdate) -> Self {
         Rollout {
-            service: news.service.clone(),
-            number: news.number,
-            target: news.target.clone(),
-            deadline: now + news.left_us.min(LONGEST_US),
-            within_us: news.within_us.min(LONGEST_US),
-            phase: news.phase,
-            stored: news.stored,
-            row: news.row,
-            barred: news.barred.iter().take(BARRED_LIMIT).cloned().collect(),
-            old: news.old.iter().take(BARRED_LIMIT).cloned().collect(),
-            judge: Judge::default(),
+            service: update.service.clone(),
+            number: update.number,
+            version: update.version.clone(),
+            deadline: now + update.remaining_us.min(MAX_ROLLOUT_US),
+            time_limit_us: update.time_limit_us.min(MAX_ROLLOUT_US),
+            phase: update.phase,
+            stored: update.stored,
+            row_version: update.row_version,
+            excluded: update.excluded.iter().take(MAX_VERSIONS).cloned().collect(),
+            old: update.old.iter().take(MAX_VERSIONS).cloned().collect(),
+            analysis: CanaryAnalysis::default(),
             idle: BTreeSet::new(),
-            since: now,
+            phase_started: now,
         }
     }
 
@@ -214,142 +217,148 @@
         self.number
     }
 
-    /// The version that the calls are moved to.
+    /// The version that calls are moved to.
     pub fn version(&self) -> &str {
-        &self.target
+        &self.version
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether the phase stands in the status row, as far as the row tells phases apart.
+    /// Whether the phase is recorded in the status row, which does not tell moving from
+    /// running.
     pub fn is_stored(&self) -> bool {
         self.stored
     }
 
-    /// Version of the status row as last seen; 0 where it was not.
-    pub fn row(&self) -> u64 {
-        self.row
+    /// Last known version of the status row; 0 where none was read.
+    pub fn row_version(&self) -> u64 {
+        self.row_version
     }
 
-    /// Whether evidence is still weighed.
-    pub fn is_open(&self) -> bool {
+    /// Whether the rollout is still running or moving, so that evidence is analysed.
+    pub fn is_active(&self) -> bool {
         self.phase <= Phase::Moving
     }
 
-    /// What the evidence says.
-    pub fn judge(&self) -> &Judge {
-        &self.judge
+    /// The analysis of the evidence.
+    pub fn analysis(&self) -> &CanaryAnalysis {
+        &self.analysis
     }
 
-    /// What is told to others.
-    pub fn news(&self, now: Micros) -> RolloutNews {
-        RolloutNews {
+    /// The update to send to other daemons.
+    pub fn to_update(&self, now: Micros) -> RolloutUpdate {
+        RolloutUpdate {
             service: self.service.clone(),
             number: self.number,
-            target: self.target.clone(),
-            left_us: self.deadline.saturating_sub(now),
-            within_us: self.within_us,
+            version: self.version.clone(),
+            remaining_us: self.deadline.saturating_sub(now),
+            time_limit_us: self.time_limit_us,
             phase: self.phase,
             stored: self.stored,
-            row: self.row,
-            barred: self.barred.iter().cloned().collect(),
+            row_version: self.row_version,
+            excluded: self.excluded.iter().cloned().collect(),
             old: self.old.iter().cloned().collect(),
         }
     }
 
-    /// What a target of a version may get, where `any_other` says whether targets are known
-    /// that can take its calls: of old versions, or of the new one when all is done. Without
-    /// any there is nothing to share the calls with.
-    pub fn admits(&self, version: &str, any_other: bool) -> Admits {
-        let is_new = version == self.target;
+    /// Which calls a target of a version may get. `any_other` says whether targets are known
+    /// that can take its calls instead: of old versions, or of the new one in phase done.
+    /// Without any, the calls cannot be divided.
+    pub fn admitted_calls(&self, version: &str, any_other: bool) -> AdmittedCalls {
+        let is_new = version == self.version;
         match self.phase {
-            _ if self.barred.contains(version) => Admits::Nothing,
-            Phase::Running if is_new && any_other => Admits::Canary,
-            Phase::Running => Admits::All,
-            Phase::Moving if is_new => Admits::All,
-            Phase::Moving => Admits::Nothing,
-            Phase::Done if any_other && self.old.contains(version) => Admits::Nothing,
-            Phase::Done => Admits::All,
-            Phase::Reverted if is_new => Admits::Nothing,
-            Phase::Reverted => Admits::All,
+            _ if self.excluded.contains(version) => AdmittedCalls::None,
+            Phase::Running if is_new && any_other => AdmittedCalls::Canary,
+            Phase::Running => AdmittedCalls::All,
+            Phase::Moving if is_new => AdmittedCalls::All,
+            Phase::Moving => AdmittedCalls::None,
+            Phase::Done if any_other && self.old.contains(version) => AdmittedCalls::None,
+            Phase::Done => AdmittedCalls::All,
+            Phase::Reverted if is_new => AdmittedCalls::None,
+            Phase::Reverted => AdmittedCalls::All,
         }
     }
 
-    /// Whether the half of a target of a version refuses all calls now.
-    pub fn closes(&self, now: Micros, version: &str, any_other: bool) -> bool {
-        let is_spreading = self.phase == Phase::Moving && now < self.since + SPREAD_US;
-        let waits = is_spreading && self.is_old(version);
-        !waits && self.admits(version, any_other) == Admits::Nothing
+    /// Whether the daemon of a target of a version refuses all calls now.
+    pub fn refuses_all(&self, now: Micros, version: &str, any_other: bool) -> bool {
+        let is_propagating =
+            self.phase == Phase::Moving && now < self.phase_started + PROPAGATION_US;
+        let waits = is_propagating && self.is_old(version);
+        !waits && self.admitted_calls(version, any_other) == AdmittedCalls::None
     }
 
-    /// Whether a version is one that the calls are moved away from.
+    /// Whether calls are moved away from a version.
     pub fn is_old(&self, version: &str) -> bool {
-        version != self.target && !self.barred.contains(version)
+        version != self.version && !self.excluded.contains(version)
     }
 
-    /// Takes what a half counted.
-    pub fn take_evidence(&mut self, now: Micros, evidence: &HalfEvidence) {
-        let of_this = evidence.order == self.number && evidence.service == self.service;
-        if of_this && self.is_open() {
-            let is_new = evidence.version == self.target;
-            self.judge.take(now, evidence, is_new);
+    /// Adds the evidence of one target.
+    pub fn add_evidence(&mut self, now: Micros, evidence: &TargetEvidence) {
+        let is_this_order = evidence.order == self.number && evidence.service == self.service;
+        if is_this_order && self.is_active() {
+            let is_new = evidence.version == self.version;
+            self.analysis.add_evidence(now, evidence, is_new);
         }
     }
 
-    /// The half of an old target has no call in hand and takes none. Returns whether that is
-    /// news.
-    pub fn take_idle(&mut self, number: u64, host: &str) -> bool {
-        let has_room = self.idle.len() < IDLE_LIMIT;
+    /// Records that an old target has no calls in flight and takes none. Returns whether that
+    /// was not known before.
+    pub fn record_idle(&mut self, number: u64, host: &str) -> bool {
+        let has_room = self.idle.len() < MAX_IDLE_HOSTS;
         number == self.number && has_room && self.idle.insert(host.to_owned())
     }
 
-    /// Hosts of old targets that said that they are idle.
-    pub fn idle(&self) -> &BTreeSet<String> {
+    /// Hosts of old targets that reported being idle.
+    pub fn idle_hosts(&self) -> &BTreeSet<String> {
         &self.idle
     }
 
-    /// Takes news of the same order.
-    fn take_same(&mut self, now: Micros, news: &RolloutNews) -> Taken {
-        let deadline = now + news.left_us.min(LONGEST_US);
-        let is_detail = deadline < self.deadline || news.row > self.row;
+    /// Merges an update for the same order.
+    fn apply_same_order(&mut self, now: Micros, update: &RolloutUpdate) -> RolloutChange {
+        let deadline = now + update.remaining_us.min(MAX_ROLLOUT_US);
+        let is_local = deadline < self.deadline || update.row_version > self.row_version;
         self.deadline = self.deadline.min(deadline);
-        self.row = self.row.max(news.row);
-        let known = self.old.len();
-        let room = BARRED_LIMIT.saturating_sub(known);
-        self.old.extend(news.old.iter().take(room).cloned());
-        let has_grown = self.old.len() > known && !self.is_open();
-        if weight(news.phase, news.stored) > weight(self.phase, self.stored) {
-            self.phase = news.phase;
-            self.stored = news.stored;
-            self.since = now;
-            return Taken::News;
+        self.row_version = self.row_version.max(update.row_version);
+        let old_count = self.old.len();
+        let room = MAX_VERSIONS.saturating_sub(old_count);
+        self.old.extend(update.old.iter().take(room).cloned());
+        let has_grown = self.old.len() > old_count && !self.is_active();
+        if precedence(update.phase, update.stored) > precedence(self.phase, self.stored) {
+            self.phase = update.phase;
+            self.stored = update.stored;
+            self.phase_started = now;
+            return RolloutChange::Relay;
         }
-        if news.phase == self.phase && news.stored && !self.stored {
+        if update.phase == self.phase && update.stored && !self.stored {
             self.stored = true;
-            return Taken::News;
+            return RolloutChange::Relay;
         }
-        // After the end, the versions that were seen as old decide what is served.
+        // After the end, the set of old versions decides which targets get calls.
         if has_grown {
-            return Taken::News;
+            return RolloutChange::Relay;
         }
-        if is_detail {
-            Taken::Detail
+        if is_local {
+            RolloutChange::Local
         } else {
-            Taken::Nothing
+            RolloutChange::None
         }
     }
 
-    /// What is known of the members changed, or time passed.
-    pub fn step(&mut self, now: Micros, members: &Members) -> Option<Step> {
-        if !self.is_open() {
+    /// Decides what to do next, after a change of the members or as time passes.
+    pub fn step(&mut self, now: Micros, members: &MemberSummary) -> Option<Step> {
+        if !self.is_active() {
             return None;
         }
-        self.learn_old(members);
-        let targets = members.versions.get(&self.target).copied().unwrap_or(0);
-        if let Some(fault) = self.judge.fault(targets) {
+        self.record_old_versions(members);
+        let targets = members
+            .targets_by_version
+            .get(&self.version)
+            .copied()
+            .unwrap_or(0);
+        if let Some(fault) = self.analysis.fault(targets) {
             return Some(self.revert(Cause::Bad(fault)));
         }
         match self.phase {
@@ -359,8 +368,8 @@
         }
     }
 
-    fn learn_old(&mut self, members: &Members) {
-        let versions = members.versions.keys();
+    fn record_old_versions(&mut self, members: &MemberSummary) {
+        let versions = members.targets_by_version.keys();
         let old: Vec<String> = versions
             .filter(|version| self.is_old(version))
             .cloned()
@@ -368,30 +377,35 @@
         self.old.extend(old);
     }
 
-    fn step_running(&mut self, now: Micros, members: &Members, targets: usize) -> Option<Step> {
-        let old = members.versions.iter();
+    fn step_running(
+        &mut self,
+        now: Micros,
+        members: &MemberSummary,
+        targets: usize,
+    ) -> Option<Step> {
+        let old = members.targets_by_version.iter();
         let old = old.filter(|(version, _)| self.is_old(version));
         let old: usize = old.map(|(_, count)| count).sum();
-        let move_us = MOVE_US.min(self.within_us / MOVE_PART);
-        if now + move_us < self.deadline {
+        let lead_us = MOVE_LEAD_US.min(self.time_limit_us / MOVE_LEAD_DIVISOR);
+        if now + lead_us < self.deadline {
             return None;
         }
-        let cause = match self.judge.readiness() {
+        let cause = match self.analysis.readiness() {
             _ if targets == 0 => Cause::NoTargets,
-            _ if targets * LEAST_TARGETS < old => Cause::TooFewTargets,
+            _ if targets * MIN_TARGETS_DIVISOR < old => Cause::TooFewTargets,
             Readiness::Good => return Some(self.begin_move(now)),
             // Nothing else can serve the calls.
             Readiness::TooFew if old == 0 => return Some(self.begin_move(now)),
             Readiness::TooFew => Cause::TooFewCalls,
             Readiness::Doubtful => Cause::Doubtful,
         };
-        let is_last = now + move_us / LAST_PART >= self.deadline;
-        is_last.then(|| self.revert(cause))
+        let is_revert_due = now + lead_us / REVERT_LEAD_DIVISOR >= self.deadline;
+        is_revert_due.then(|| self.revert(cause))
     }
 
     fn begin_move(&mut self, now: Micros) -> Step {
         self.phase = Phase::Moving;
-        self.since = now;
+        self.phase_started = now;
         self.stored = false;
         Step::Move
     }
@@ -402,43 +416,62 @@
         Step::Revert(cause)
     }
 
-    /// Old targets that cannot be reached are waited for as long as there is time.
-    fn may_finish(&self, now: Micros, members: &Members) -> bool {
-        let kept_us = if members.any_unheard {
-            WRITE_US
+    /// Whether "done" may be written. Unreachable old targets are waited for as long as the
+    /// deadline allows.
+    fn may_finish(&self, now: Micros, members: &MemberSummary) -> bool {
+        let lead_us = if members.any_unreachable {
+            UNREACHABLE_DONE_LEAD_US
         } else {
-            FINISH_US
+            DONE_LEAD_US
         };
-        let has_spread = now >= self.since + LEAST_MOVE_US;
-        members.old_idle && has_spread && now + kept_us >= self.deadline
-    }
-
-    /// The status row was written, or seen, with this phase for this order.
-    pub fn stored(&mut self, phase: Phase, row: u64) -> Taken {
-        self.row = row;
-        if weight(phase, true) <= weight(self.phase, self.stored) {
-            let is_told = phase == self.phase && !self.stored;
-            self.stored |= is_told;
-            return if is_told { Taken::News } else { Taken::Detail };
+        let has_propagated = now >= self.phase_started + MIN_MOVE_US;
+        members.all_old_idle && has_propagated && now + lead_us >= self.deadline
+    }
+
+    /// Records that the status row has this phase for this order, as written or read.
+    pub fn record_stored(&mut self, phase: Phase, row_version: u64) -> RolloutChange {
+        self.row_version = row_version;
+        if precedence(phase, true) <= precedence(self.phase, self.stored) {
+            let is_newly_stored = phase == self.phase && !self.stored;
+            self.stored |= is_newly_stored;
+            return if is_newly_stored {
+                RolloutChange::Relay
+            } else {
+                RolloutChange::Local
+            };
         }
         self.phase = phase;
         self.stored = true;
-        Taken::News
+        RolloutChange::Relay
     }
 
-    /// Another version of the status row was seen, that of another order.
-    pub fn seen_row(&mut self, row: u64) {
-        self.row = row;
+    /// Records the version of a status row that has no phase for this order: it is missing,
+    /// unreadable or of an earlier order.
+    pub fn record_row_version(&mut self, row_version: u64) {
+        self.row_version = row_version;
     }
 
-    /// The status row tells of a later order: nothing is written there for this one.
-    pub fn superseded(&mut self) {
+    /// Records that the status row belongs to a later order, so that nothing is written for
+    /// this one.
+    pub fn mark_superseded(&mut self) {
         self.stored = true;
     }
+
+    /// Versions that get no calls during a later rollout to `next`: the excluded ones, and this
+    /// rollout's own version unless it was completed.
+    fn unfinished_versions(&self, next: &str) -> Vec<String> {
+        let mut versions: Vec<String> = self.excluded.iter().cloned().collect();
+        if self.phase != Phase::Done {
+            versions.push(self.version.clone());
+        }
+        versions.retain(|version| version != next);
+        versions
+    }
 }
 
-/// How much a belief weighs. The row tells only ends from what is not over.
-fn weight(phase: Phase, stored: bool) -> u8 {
+/// Which of two states of the same order wins when they are merged. The status row only tells
+/// ended rollouts from active ones.
+fn precedence(phase: Phase, stored: bool) -> u8 {
     match (phase, stored) {
         (Phase::Running, _) => 0,
         (Phase::Moving, _) => 1,
@@ -454,75 +487,66 @@
 }
 
 impl Rollouts {
-    /// Takes an order that was read from its row.
-    pub fn take_order(&mut self, now: Micros, order: &RolloutOrder) -> Taken {
+    /// Applies an order read from its row.
+    pub fn apply_order(&mut self, now: Micros, order: &RolloutOrder) -> RolloutChange {
         let known = self.services.get(&order.service);
-        let (target, number, phase) = match (&order.target, known) {
-            (Some(target), _) => (target.clone(), order.number, Phase::Running),
-            // It keeps its number: should it stand as done in the status row, that holds.
-            (None, Some(known)) if known.is_open() && known.number < order.number => {
-                (known.target.clone(), known.number, Phase::Reverted)
+        let (version, number, phase) = match (&order.version, known) {
+            (Some(version), _) => (version.clone(), order.number, Phase::Running),
+            // A withdrawn order keeps its number, so that "done" in the status row still wins.
+            (None, Some(known)) if known.is_active() && known.number < order.number => {
+                (known.version.clone(), known.number, Phase::Reverted)
             }
-            (None, _) => return Taken::Nothing,
+            (None, _) => return RolloutChange::None,
         };
-        let news = RolloutNews {
+        let update = RolloutUpdate {
             service: order.service.clone(),
             number,
-            target,
-            left_us: order.within_us,
-            within_us: order.within_us,
+            version,
+            remaining_us: order.time_limit_us,
+            time_limit_us: order.time_limit_us,
             phase,
             stored: false,
-            row: known.map_or(0, Rollout::row),
-            barred: Vec::new(),
+            row_version: known.map_or(0, Rollout::row_version),
+            excluded: Vec::new(),
             old: Vec::new(),
         };
-        self.take(now, &news)
+        self.apply_update(now, &update)
     }
 
-    /// Takes what another daemon knows.
-    pub fn take(&mut self, now: Micros, news: &RolloutNews) -> Taken {
-        let is_full = self.services.len() >= SERVICES_LIMIT;
-        let next = match self.services.get_mut(&news.service) {
-            Some(known) if known.number > news.number => return Taken::Nothing,
-            Some(known) if known.number == news.number => return known.take_same(now, news),
+    /// Applies an update from another daemon.
+    pub fn apply_update(&mut self, now: Micros, update: &RolloutUpdate) -> RolloutChange {
+        let is_full = self.services.len() >= MAX_SERVICES;
+        let next = match self.services.get_mut(&update.service) {
+            Some(known) if known.number > update.number => return RolloutChange::None,
+            Some(known) if known.number == update.number => {
+                return known.apply_same_order(now, update);
+            }
             Some(known) => {
-                let mut next = Rollout::new(now, news);
-                next.barred.extend(known.left_over(&next.target));
-                next.barred.remove(&next.target);
+                let mut next = Rollout::new(now, update);
+                next.excluded
+                    .extend(known.unfinished_versions(&next.version));
+                next.excluded.remove(&next.version);
                 next
             }
-            None if is_full => return Taken::Nothing,
-            None => Rollout::new(now, news),
+            None if is_full => return RolloutChange::None,
+            None => Rollout::new(now, update),
         };
-        self.services.insert(news.service.clone(), next);
-        Taken::News
+        self.services.insert(update.service.clone(), next);
+        RolloutChange::Relay
     }
 
     /// The rollout of a service.
-    pub fn of(&self, service: &str) -> Option<&Rollout> {
+    pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.services.get(service)
     }
 
-    /// The rollout of a service, to be changed.
-    pub fn of_mut(&mut self, service: &str) -> Option<&mut Rollout> {
+    /// The rollout of a service, mutably.
+    pub fn get_mut(&mut self, service: &str) -> Option<&mut Rollout> {
         self.services.get_mut(service)
     }
 
-    /// All of them.
+    /// The rollouts of all services.
     pub fn all(&self) -> impl Iterator<Item = &Rollout> {
         self.services.values()
     }
 }
-
-impl Rollout {
-    /// Versions that get no calls during a later rollout to `next`: those that were not done.
-    fn left_over(&self, next: &str) -> Vec<String> {
-        let mut left: Vec<String> = self.barred.iter().cloned().collect();
-        if self.phase != Phase::Done {
-            left.push(self.target.clone());
-        }
-        left.retain(|version| version != next);
-        left
-    }
-}
--- a/crates/policy/src/rollout/routing.rs
+++ b/crates/policy/src/rollout/routing.rs
@@ -1,26 +1,26 @@
-//! How a router divides its targets while a rollout goes on.
+//! How a router divides calls between its targets during a rollout.
 
 use super::exposure::{Exposure, RolloutTargets};
 use crate::chooser::{Chooser, Considered, Lane, Wanted};
 use crate::ids::{Micros, TargetId};
 
-/// A rollout of the service, and what this router offered to the new version.
+/// How a rollout divides the targets, and the calls that this router offered to the new version.
 #[derive(Debug)]
-pub(crate) struct RolloutLanes {
+pub(crate) struct RolloutRouting {
     pub(crate) targets: RolloutTargets,
     pub(crate) exposure: Exposure,
 }
 
-impl RolloutLanes {
-    /// Targets for a call that the share leaves no room for.
-    pub(crate) fn usual(&self) -> Lane {
-        let mut without = self.targets.barred.clone();
-        without.extend(&self.targets.canaries);
-        Lane::Without(without)
+impl RolloutRouting {
+    /// Targets for a call outside the canary share.
+    pub(crate) fn default_lane(&self) -> Lane {
+        let mut skipped = self.targets.excluded.clone();
+        skipped.extend(&self.targets.canaries);
+        Lane::Without(skipped)
     }
 
-    /// Chooses among the canary targets where the share has room and one is open, and else
-    /// among the others.
+    /// Chooses among the canary targets if the share allows and one is available, otherwise
+    /// among the other targets.
     pub(crate) fn choose(
         &mut self,
         now: Micros,
@@ -29,23 +29,26 @@
         considered: &mut Vec<Considered>,
     ) -> Option<TargetId> {
         if self.exposure.may_offer(self.targets.share, wanted.kind) {
-            chooser.set_lane(Lane::Only(self.open_canaries(now, chooser)));
+            chooser.set_lane(Lane::Only(self.available_canaries(now, chooser)));
             let chosen = chooser.choose(now, wanted, considered);
-            chooser.set_lane(self.usual());
+            chooser.set_lane(self.default_lane());
             if chosen.is_some() {
-                self.exposure.offered(wanted.kind);
+                self.exposure.record_offered(wanted.kind);
                 return chosen;
             }
         }
         chooser.choose(now, wanted, considered)
     }
 
-    fn open_canaries(&self, now: Micros, chooser: &Chooser) -> Vec<TargetId> {
-        let is_open = |target: &TargetId| {
+    fn available_canaries(&self, now: Micros, chooser: &Chooser) -> Vec<TargetId> {
+        let is_available = |target: &TargetId| {
             let state = chooser.target(*target);
             state.is_some_and(|state| state.available(now))
         };
         let canaries = self.targets.canaries.iter().copied();
-        canaries.filter(is_open).take(self.targets.width).collect()
+        canaries
+            .filter(is_available)
+            .take(self.targets.canary_count)
+            .collect()
     }
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -20,7 +20,7 @@
 use crate::homes::{BoundCalls, Homes};
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
 use crate::retry::{FurtherAttempts, FurtherParams};
-use crate::rollout::{RolloutLanes, RolloutTargets};
+use crate::rollout::{RolloutRouting, RolloutTargets};
 use crate::target::TargetState;
 use crate::work::CallKind;
 
@@ -103,7 +103,7 @@
     considered: Vec<Considered>,
     counts: RouterCounts,
     own_failures: OwnFailures,
-    rollout: Option<RolloutLanes>,
+    rollout: Option<RolloutRouting>,
 }
 
 impl Router {
@@ -175,12 +175,12 @@
         self.rollout = targets.map(|targets| {
             let same = before.filter(|before| before.targets.order == targets.order);
             let exposure = same.map(|before| before.exposure);
-            RolloutLanes {
+            RolloutRouting {
                 targets,
                 exposure: exposure.unwrap_or_default(),
             }
         });
-        let lane = self.rollout.as_ref().map(RolloutLanes::usual);
+        let lane = self.rollout.as_ref().map(RolloutRouting::default_lane);
         self.chooser.set_lane(lane.unwrap_or_default());
     }
 
@@ -193,7 +193,7 @@
     /// Calls that were offered to the new version and may have reached it.
     pub fn canary_calls(&self) -> u64 {
         let rollout = self.rollout.as_ref();
-        rollout.map_or(0, |rollout| rollout.exposure.canary())
+        rollout.map_or(0, |rollout| rollout.exposure.canary_calls())
     }
 
     /// Targets scored for the last choice, for explanations.
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -73,7 +73,7 @@
     /// An attempt reached its target.
     pub(super) fn count_delivered(&mut self, ended: &Attempt) {
         if let Some(rollout) = &mut self.rollout {
-            rollout.exposure.delivered(ended.kind);
+            rollout.exposure.record_delivered(ended.kind);
         }
     }
 
@@ -82,7 +82,7 @@
         if let Some(rollout) = &mut self.rollout
             && rollout.targets.new.contains(&ended.target)
         {
-            rollout.exposure.taken_back(ended.kind);
+            rollout.exposure.record_undelivered(ended.kind);
         }
     }
 
--- a/crates/policy/tests/rollout/canary_share.rs
+++ b/crates/policy/tests/rollout/canary_share.rs
@@ -1,4 +1,4 @@
-//! Which calls a router offers to a new version.
+//! Calls that a router offers to a new version.
 
 use std::collections::BTreeSet;
 
@@ -31,19 +31,19 @@
     router
 }
 
-/// Targets 4 and 5 have the new version.
-fn running(order: u64) -> Option<RolloutTargets> {
+/// A rollout in which targets 4 and 5 have the new version.
+fn running_rollout(order: u64) -> Option<RolloutTargets> {
     Some(RolloutTargets {
         order,
         canaries: vec![TargetId(4), TargetId(5)],
-        width: 1,
+        canary_count: 1,
         share: 0.1,
         new: vec![TargetId(4), TargetId(5)],
-        barred: Vec::new(),
+        excluded: Vec::new(),
     })
 }
 
-fn arrive(router: &mut Router, call: u64) -> (AttemptId, TargetId) {
+fn route_call(router: &mut Router, call: u64) -> (AttemptId, TargetId) {
     let arrived = Event::Arrived {
         call: CallId(call),
         deadline: SECOND,
@@ -53,10 +53,10 @@
         goal: None,
         kind: CallKind(0),
     };
-    sent(&router.on(0, arrived))
+    expect_send(&router.on(0, arrived))
 }
 
-fn sent(actions: &[Action]) -> (AttemptId, TargetId) {
+fn expect_send(actions: &[Action]) -> (AttemptId, TargetId) {
     match actions {
         [
             Action::Send {
@@ -81,11 +81,11 @@
 #[test]
 fn a_router_offers_the_new_version_its_share_at_the_first_canary_only() {
     let mut router = router();
-    router.set_rollout(running(1));
+    router.set_rollout(running_rollout(1));
     let mut canary = 0;
     for call in 0..400 {
-        let (attempt, target) = arrive(&mut router, call);
-        assert_ne!(target, TargetId(5), "one canary takes the share");
+        let (attempt, target) = route_call(&mut router, call);
+        assert_ne!(target, TargetId(5), "only the first canary gets the share");
         canary += u64::from(target == TargetId(4));
         assert!(canary as f64 <= 0.1 * call as f64, "call {call}");
         answer(&mut router, attempt);
@@ -93,19 +93,19 @@
     assert!(router.is_new(TargetId(5)) && !router.is_new(TargetId(3)));
     assert_eq!(router.canary_calls(), canary);
     assert!(canary >= 38, "{canary}");
-    // The same order told again does not begin anew, a later one does.
-    router.set_rollout(running(1));
+    // The same order keeps the count; a later one resets it.
+    router.set_rollout(running_rollout(1));
     assert_eq!(router.canary_calls(), canary);
-    router.set_rollout(running(2));
+    router.set_rollout(running_rollout(2));
     assert_eq!(router.canary_calls(), 0);
 }
 
 #[test]
 fn a_call_that_a_canary_refuses_goes_to_an_old_target_and_does_not_count() {
     let mut router = router();
-    router.set_rollout(running(1));
+    router.set_rollout(running_rollout(1));
     for call in 0..200 {
-        let (attempt, target) = arrive(&mut router, call);
+        let (attempt, target) = route_call(&mut router, call);
         if target != TargetId(4) {
             answer(&mut router, attempt);
             continue;
@@ -118,7 +118,7 @@
             },
             figures: None,
         };
-        let (again, target) = sent(&router.on(0, refused));
+        let (again, target) = expect_send(&router.on(0, refused));
         assert!(target.0 < 4, "{target:?}");
         answer(&mut router, again);
         assert_eq!(router.canary_calls(), 0);
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn a_call_that_could_go_nowhere_else_is_not_offered_to_a_canary() {
+fn a_call_that_cannot_be_retried_is_not_offered_to_a_canary() {
     let mut router = router();
-    router.set_rollout(running(1));
+    router.set_rollout(running_rollout(1));
     for call in 0..100 {
         let arrived = Event::Arrived {
             call: CallId(call),
@@ -139,29 +139,29 @@
             goal: None,
             kind: CallKind(0),
         };
-        let (attempt, target) = sent(&router.on(0, arrived));
+        let (attempt, target) = expect_send(&router.on(0, arrived));
         assert!(target.0 < 4, "{target:?}");
         answer(&mut router, attempt);
     }
 }
 
 #[test]
-fn barred_targets_get_nothing_and_all_do_when_no_rollout_goes_on() {
+fn excluded_targets_get_no_calls_until_the_rollout_is_removed() {
     let mut router = router();
     router.set_rollout(Some(RolloutTargets {
         order: 1,
-        barred: (0..4).map(TargetId).collect(),
+        excluded: (0..4).map(TargetId).collect(),
         ..RolloutTargets::default()
     }));
     for call in 0..50 {
-        let (attempt, target) = arrive(&mut router, call);
+        let (attempt, target) = route_call(&mut router, call);
         assert!(target.0 >= 4, "{target:?}");
         answer(&mut router, attempt);
     }
     router.set_rollout(None);
     let mut seen = BTreeSet::new();
     for call in 50..100 {
-        let (attempt, target) = arrive(&mut router, call);
+        let (attempt, target) = route_call(&mut router, call);
         seen.insert(target);
         answer(&mut router, attempt);
     }
--- a/crates/policy/tests/rollout/orders.rs
+++ b/crates/policy/tests/rollout/orders.rs
@@ -1,146 +1,173 @@
-//! What becomes of orders, and which targets are open meanwhile.
+//! Orders and updates applied by one daemon, and the calls that targets get in each phase.
 
 use std::collections::BTreeMap;
 
 use lynxcleat_policy::{
-    Admits, Cause, Members, Phase, RolloutNews, RolloutOrder, Rollouts, Step, Taken,
+    AdmittedCalls, Cause, MemberSummary, Phase, RolloutChange, RolloutOrder, RolloutUpdate,
+    Rollouts, Step,
 };
 
 use super::{MS, SECOND, SERVICE};
 
-fn order(number: u64, target: Option<&str>) -> RolloutOrder {
+fn order(number: u64, version: Option<&str>) -> RolloutOrder {
     RolloutOrder {
         service: SERVICE.to_owned(),
-        target: target.map(str::to_owned),
+        version: version.map(str::to_owned),
         number,
-        within_us: 10 * SECOND,
+        time_limit_us: 10 * SECOND,
     }
 }
 
-fn admits(rollouts: &Rollouts, version: &str) -> Admits {
-    let rollout = rollouts.of(SERVICE).expect("it is known");
-    rollout.admits(version, true)
+fn admitted_calls(rollouts: &Rollouts, version: &str) -> AdmittedCalls {
+    let rollout = rollouts.get(SERVICE).expect("the order was applied");
+    rollout.admitted_calls(version, true)
 }
 
 #[test]
-fn an_order_that_is_changed_bars_the_version_that_was_not_done() {
+fn a_later_order_excludes_the_unfinished_version() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(rollouts.take_order(0, &order(3, Some("v2"))), Taken::News);
     assert_eq!(
-        rollouts.take_order(0, &order(3, Some("v2"))),
-        Taken::Nothing
+        rollouts.apply_order(0, &order(3, Some("v2"))),
+        RolloutChange::Relay
     );
     assert_eq!(
-        rollouts.take_order(0, &order(2, Some("v9"))),
-        Taken::Nothing
+        rollouts.apply_order(0, &order(3, Some("v2"))),
+        RolloutChange::None
     );
-    assert_eq!(admits(&rollouts, "v2"), Admits::Canary);
-    assert_eq!(rollouts.take_order(0, &order(4, Some("v3"))), Taken::News);
-    assert_eq!(admits(&rollouts, "v1"), Admits::All);
-    assert_eq!(admits(&rollouts, "v2"), Admits::Nothing);
-    assert_eq!(admits(&rollouts, "v3"), Admits::Canary);
-    // Ordered again, it is tried again.
-    rollouts.take_order(0, &order(5, Some("v2")));
-    assert_eq!(admits(&rollouts, "v2"), Admits::Canary);
-    assert_eq!(admits(&rollouts, "v3"), Admits::Nothing);
+    assert_eq!(
+        rollouts.apply_order(0, &order(2, Some("v9"))),
+        RolloutChange::None
+    );
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::Canary);
+    assert_eq!(
+        rollouts.apply_order(0, &order(4, Some("v3"))),
+        RolloutChange::Relay
+    );
+    assert_eq!(admitted_calls(&rollouts, "v1"), AdmittedCalls::All);
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::None);
+    assert_eq!(admitted_calls(&rollouts, "v3"), AdmittedCalls::Canary);
+    // A new order for an excluded version gives it calls again.
+    rollouts.apply_order(0, &order(5, Some("v2")));
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::Canary);
+    assert_eq!(admitted_calls(&rollouts, "v3"), AdmittedCalls::None);
 }
 
 #[test]
-fn an_order_that_is_taken_back_is_reverted_unless_it_was_done() {
+fn a_withdrawn_order_is_reverted_unless_it_was_done() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(rollouts.take_order(0, &order(3, None)), Taken::Nothing);
-    rollouts.take_order(0, &order(4, Some("v2")));
-    assert_eq!(rollouts.take_order(0, &order(5, None)), Taken::News);
-    assert_eq!(admits(&rollouts, "v1"), Admits::All);
-    assert_eq!(admits(&rollouts, "v2"), Admits::Nothing);
-    rollouts.take_order(0, &order(6, Some("v2")));
-    let rollout = rollouts.of_mut(SERVICE).expect("it is known");
-    assert_eq!(rollout.stored(Phase::Done, 9), Taken::News);
-    assert_eq!(rollouts.take_order(0, &order(7, None)), Taken::Nothing);
-    assert_eq!(admits(&rollouts, "v2"), Admits::All);
+    assert_eq!(
+        rollouts.apply_order(0, &order(3, None)),
+        RolloutChange::None
+    );
+    rollouts.apply_order(0, &order(4, Some("v2")));
+    assert_eq!(
+        rollouts.apply_order(0, &order(5, None)),
+        RolloutChange::Relay
+    );
+    assert_eq!(admitted_calls(&rollouts, "v1"), AdmittedCalls::All);
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::None);
+    rollouts.apply_order(0, &order(6, Some("v2")));
+    let rollout = rollouts.get_mut(SERVICE).expect("the order was applied");
+    assert_eq!(rollout.record_stored(Phase::Done, 9), RolloutChange::Relay);
+    assert_eq!(
+        rollouts.apply_order(0, &order(7, None)),
+        RolloutChange::None
+    );
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::All);
 }
 
 #[test]
-fn what_stands_in_the_status_row_settles_a_race() {
+fn the_status_row_resolves_a_race() {
     let mut rollouts = Rollouts::default();
-    rollouts.take_order(0, &order(4, Some("v2")));
-    let known = rollouts.of(SERVICE).expect("it is known").news(0);
-    let reverted = RolloutNews {
+    rollouts.apply_order(0, &order(4, Some("v2")));
+    let known = rollouts
+        .get(SERVICE)
+        .expect("the order was applied")
+        .to_update(0);
+    let reverted = RolloutUpdate {
         phase: Phase::Reverted,
         ..known.clone()
     };
-    let done = RolloutNews {
+    let done = RolloutUpdate {
         phase: Phase::Done,
         stored: true,
-        row: 12,
+        row_version: 12,
         ..known.clone()
     };
-    assert_eq!(rollouts.take(0, &reverted), Taken::News);
+    assert_eq!(rollouts.apply_update(0, &reverted), RolloutChange::Relay);
     assert_eq!(
-        rollouts.take(0, &known),
-        Taken::Nothing,
-        "it never goes back"
+        rollouts.apply_update(0, &known),
+        RolloutChange::None,
+        "a phase never goes back"
     );
-    assert_eq!(rollouts.take(0, &done), Taken::News);
-    assert_eq!(rollouts.take(0, &reverted), Taken::Nothing);
-    assert_eq!(admits(&rollouts, "v2"), Admits::All);
+    assert_eq!(rollouts.apply_update(0, &done), RolloutChange::Relay);
+    assert_eq!(rollouts.apply_update(0, &reverted), RolloutChange::None);
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::All);
 }
 
 #[test]
-fn a_version_that_never_comes_is_reverted_at_the_deadline() {
+fn a_version_without_targets_is_reverted_before_the_deadline() {
     let mut rollouts = Rollouts::default();
-    rollouts.take_order(0, &order(4, Some("v2")));
-    let rollout = rollouts.of_mut(SERVICE).expect("it is known");
-    let members = Members {
-        versions: BTreeMap::from([("v1".to_owned(), 4)]),
-        ..Members::default()
+    rollouts.apply_order(0, &order(4, Some("v2")));
+    let rollout = rollouts.get_mut(SERVICE).expect("the order was applied");
+    let members = MemberSummary {
+        targets_by_version: BTreeMap::from([("v1".to_owned(), 4)]),
+        ..MemberSummary::default()
     };
     assert_eq!(rollout.step(5 * SECOND, &members), None);
     let last = rollout.step(10 * SECOND - 400 * MS, &members);
     assert_eq!(last, Some(Step::Revert(Cause::NoTargets)));
-    assert_eq!(rollout.step(20 * SECOND, &members), None, "once");
+    assert_eq!(
+        rollout.step(20 * SECOND, &members),
+        None,
+        "reverts only once"
+    );
 }
 
 #[test]
-fn calls_are_not_moved_to_a_handful_of_targets() {
+fn calls_are_not_moved_to_far_fewer_targets() {
     let mut rollouts = Rollouts::default();
-    rollouts.take_order(0, &order(4, Some("v2")));
-    let rollout = rollouts.of_mut(SERVICE).expect("it is known");
-    let members = Members {
-        versions: BTreeMap::from([("v1".to_owned(), 20), ("v2".to_owned(), 4)]),
-        ..Members::default()
+    rollouts.apply_order(0, &order(4, Some("v2")));
+    let rollout = rollouts.get_mut(SERVICE).expect("the order was applied");
+    let members = MemberSummary {
+        targets_by_version: BTreeMap::from([("v1".to_owned(), 20), ("v2".to_owned(), 4)]),
+        ..MemberSummary::default()
     };
     let last = rollout.step(10 * SECOND - 400 * MS, &members);
     assert_eq!(last, Some(Step::Revert(Cause::TooFewTargets)));
 }
 
 #[test]
-fn old_targets_are_open_while_it_runs_and_closed_once_it_moves() {
+fn old_targets_take_calls_while_running_and_none_once_moving() {
     let mut rollouts = Rollouts::default();
-    rollouts.take_order(0, &order(4, Some("v2")));
-    assert_eq!(admits(&rollouts, "v1"), Admits::All);
-    let known = rollouts.of(SERVICE).expect("it is known");
-    assert_eq!(known.admits("v2", false), Admits::All, "no old one is left");
-    let moving = RolloutNews {
+    rollouts.apply_order(0, &order(4, Some("v2")));
+    assert_eq!(admitted_calls(&rollouts, "v1"), AdmittedCalls::All);
+    let known = rollouts.get(SERVICE).expect("the order was applied");
+    assert_eq!(
+        known.admitted_calls("v2", false),
+        AdmittedCalls::All,
+        "no old target is left"
+    );
+    let moving = RolloutUpdate {
         phase: Phase::Moving,
         old: vec!["v1".to_owned()],
-        ..known.news(0)
+        ..known.to_update(0)
     };
-    rollouts.take(0, &moving);
-    assert_eq!(admits(&rollouts, "v1"), Admits::Nothing);
-    let known = rollouts.of(SERVICE).expect("it is known");
+    rollouts.apply_update(0, &moving);
+    assert_eq!(admitted_calls(&rollouts, "v1"), AdmittedCalls::None);
+    let known = rollouts.get(SERVICE).expect("the order was applied");
     assert!(
-        !known.closes(0, "v1", true),
-        "not all routers have heard of it"
+        !known.refuses_all(0, "v1", true),
+        "not all routers have received the update"
     );
-    assert!(known.closes(SECOND, "v1", true) && !known.closes(SECOND, "v2", true));
-    assert_eq!(admits(&rollouts, "v2"), Admits::All);
-    let rollout = rollouts.of_mut(SERVICE).expect("it is known");
-    rollout.stored(Phase::Done, 5);
-    assert_eq!(admits(&rollouts, "v1"), Admits::Nothing);
+    assert!(known.refuses_all(SECOND, "v1", true) && !known.refuses_all(SECOND, "v2", true));
+    assert_eq!(admitted_calls(&rollouts, "v2"), AdmittedCalls::All);
+    let rollout = rollouts.get_mut(SERVICE).expect("the order was applied");
+    rollout.record_stored(Phase::Done, 5);
+    assert_eq!(admitted_calls(&rollouts, "v1"), AdmittedCalls::None);
     assert_eq!(
-        admits(&rollouts, "v3"),
-        Admits::All,
-        "a plain release later on"
+        admitted_calls(&rollouts, "v3"),
+        AdmittedCalls::All,
+        "a later release without a rollout"
     );
 }
--- a/crates/policy/tests/rollout/simulation/network.rs
+++ b/crates/policy/tests/rollout/simulation/network.rs
@@ -1,29 +1,30 @@
-//! What daemons tell each other: late, twice, or not at all while one is cut off.
+//! Messages between daemons, which are delayed, duplicated, or lost during a partition.
 
-use lynxcleat_policy::RolloutNews;
+use lynxcleat_policy::RolloutUpdate;
 use rand::RngExt;
 
-use super::{Message, World};
+use super::{Message, Simulation};
 use crate::{MS, SERVICE};
 
-impl World {
-    pub(super) fn is_cut(&self, daemon: usize) -> bool {
-        let cut = self.daemons[daemon].cut;
-        cut.is_some_and(|(from, to)| (from..to).contains(&self.now))
+impl Simulation {
+    pub(super) fn is_partitioned(&self, daemon: usize) -> bool {
+        let partition = self.daemons[daemon].partition;
+        partition.is_some_and(|(from, to)| (from..to).contains(&self.now))
     }
 
     pub(super) fn store_answers(&self, daemon: usize) -> bool {
-        let silent = self.trouble.store_silent;
-        !self.is_cut(daemon) && !silent.is_some_and(|(from, to)| (from..to).contains(&self.now))
+        let outage = self.disturbance.store_outage;
+        !self.is_partitioned(daemon)
+            && !outage.is_some_and(|(from, to)| (from..to).contains(&self.now))
     }
 
-    /// Tells all others, now and then twice; who is cut off hears nothing.
-    pub(super) fn tell(&mut self, from: usize, message: &Message) {
-        if self.is_cut(from) {
+    /// Sends a message to all other daemons but partitioned ones, sometimes twice.
+    pub(super) fn broadcast(&mut self, from: usize, message: &Message) {
+        if self.is_partitioned(from) {
             return;
         }
         for to in 0..self.daemons.len() {
-            if to == from || self.is_cut(to) {
+            if to == from || self.is_partitioned(to) {
                 continue;
             }
             let delay = self.rng.random_range(1..40) * MS;
@@ -35,28 +36,28 @@
         }
     }
 
-    pub(super) fn news_of(&self, daemon: usize) -> Option<RolloutNews> {
-        let known = self.daemons[daemon].rollouts.of(SERVICE)?;
-        Some(known.news(self.now))
+    pub(super) fn update_of(&self, daemon: usize) -> Option<RolloutUpdate> {
+        let known = self.daemons[daemon].rollouts.get(SERVICE)?;
+        Some(known.to_update(self.now))
     }
 
-    pub(super) fn tell_news(&mut self, from: usize) {
-        if let Some(news) = self.news_of(from) {
-            self.tell(from, &Message::News(news));
+    pub(super) fn announce_update(&mut self, from: usize) {
+        if let Some(update) = self.update_of(from) {
+            self.broadcast(from, &Message::Update(update));
         }
     }
 
-    /// A link is new: both ends say what they know.
-    pub(super) fn greet(&mut self, daemon: usize) {
+    /// Exchanges updates in both directions over new links to all other daemons.
+    pub(super) fn exchange_updates(&mut self, daemon: usize) {
         let others: Vec<usize> = (0..self.daemons.len())
             .filter(|other| *other != daemon)
             .collect();
         for other in others {
-            if let Some(news) = self.news_of(other) {
-                self.send(daemon, 5 * MS, Message::News(news));
+            if let Some(update) = self.update_of(other) {
+                self.send(daemon, 5 * MS, Message::Update(update));
             }
-            if let Some(news) = self.news_of(daemon) {
-                self.send(other, 5 * MS, Message::News(news));
+            if let Some(update) = self.update_of(daemon) {
+                self.send(other, 5 * MS, Message::Update(update));
             }
         }
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,8 +2,8 @@
 
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
-    AttemptId, CallKind, Elsewhere, EndId, Figures, HalfEvidence, Homes, NotRunReason, Refusal,
-    RolloutNews, SuspectNews, ZoneNews,
+    AttemptId, CallKind, Elsewhere, EndId, Figures, Homes, NotRunReason, Refusal, RolloutUpdate,
+    SuspectNews, TargetEvidence, ZoneNews,
 };
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -410,9 +410,9 @@
     /// Availability zones that were evacuated, or are no more, as the sender knows.
     Zones(Vec<ZoneNews>),
     /// Where rollouts stand, as the sender knows.
-    Rollouts(Vec<RolloutNews>),
+    Rollouts(Vec<RolloutUpdate>),
     /// What the half of the sender's target counted while a rollout runs.
-    RolloutEvidence(HalfEvidence),
+    RolloutEvidence(TargetEvidence),
     /// The half of a target that calls are moved away from has none in hand.
     RolloutIdle(IdleFrame),
     /// Changes of the members' table that the sender knows of.
