--- a/crates/daemon/src/route/offer.rs
+++ b/crates/daemon/src/route/offer.rs
@@ -29,7 +29,7 @@
         }
         let sent = link.is_some_and(|link| {
             let frame = CallFrame {
-                canary: self.service.with(|router| router.is_new(target)),
+                canary: self.service.with(|router| router.is_new_version(target)),
                 ..self.frame(attempt, elsewhere)
             };
             // The half hears of a suspect before it has the call.
--- a/crates/daemon/src/route/params.rs
+++ b/crates/daemon/src/route/params.rs
@@ -1,6 +1,8 @@
 //! A router's parameters, from the settings in force for its service.
 
-use lynxcleat_policy::{ChooseParams, FurtherParams, Policy, RetryBound, RouterParams, WayPrices};
+use lynxcleat_policy::{
+    FurtherParams, Policy, RetryBound, RouterParams, SelectionParams, WayPrices,
+};
 use lynxcleat_settings::Effective;
 
 /// This daemon's part of the bound that all daemons keep together. Half of the reserve
@@ -27,7 +29,7 @@
 /// What the settings in force for a service say to its router, in a fleet of `hosts`.
 pub(super) fn params(effective: &Effective, hosts: usize) -> RouterParams {
     RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: effective.policy.parse().unwrap_or(Policy::ExpectedFinish),
             ramp_us: effective.ramp_ms * 1_000,
             eject_failures: effective.eject_failures,
@@ -35,7 +37,7 @@
             prices: way_prices(effective),
         },
         attempt_limit: effective.attempt_limit,
-        further: FurtherParams {
+        retry_budget: FurtherParams {
             percent: effective.retry_percent,
             bound: retry_bound(effective, hosts),
         },
--- a/crates/daemon/src/route/run.rs
+++ b/crates/daemon/src/route/run.rs
@@ -9,8 +9,8 @@
 
 use lynxcleat_once::Operation;
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, EndId, Event, Homes, Micros, NotRunReason, RequestPrints,
-    Source, Standing, TargetId, UnknownReason, Verdict,
+    Action, AnswerStatus, AttemptId, CallId, CallKind, EndId, Event, Homes, Micros, NotRunReason,
+    RequestPrints, Standing, TargetId, UnknownReason, Verdict,
 };
 use lynxcleat_wire::{Answer, CallingOrganisation, RequestHead};
 use serde_bytes::ByteBuf;
@@ -166,7 +166,7 @@
         let arrived = Event::Arrived {
             call: self.call.id,
             deadline: self.call.deadline,
-            effect: self.call.operation.is_some(),
+            has_effects: self.call.operation.is_some(),
             may_retry: self.call.may_retry,
             attempt_limit: self.call.attempt_limit,
             goal: self.call.goal,
@@ -203,11 +203,11 @@
                 },
                 () = &mut gone, if !is_gone => {
                     is_gone = true;
-                    Event::CallerGone { call: self.call.id }
+                    Event::CallerDisconnected { call: self.call.id }
                 }
                 () = &mut over => {
                     self.name_to_router();
-                    Event::DeadlineOver { call: self.call.id }
+                    Event::DeadlineExpired { call: self.call.id }
                 }
             };
             self.hold_begun_body();
@@ -223,7 +223,7 @@
     fn hold_begun_body(&mut self) {
         let call = self.call.id;
         if self.call.upload.as_ref().is_some_and(Upload::take_back) {
-            self.decide(Event::BodyBegun { call });
+            self.decide(Event::BodyStarted { call });
         }
     }
 
@@ -308,7 +308,7 @@
     /// Tells the decisions where the call may be served.
     fn bind(&mut self) {
         let (call, homes) = (self.call.id, self.call.homes.clone());
-        self.decide(Event::Bound { call, homes });
+        self.decide(Event::HomesSet { call, homes });
     }
 
     /// Asks the target's daemon what became of an attempt whose link was lost.
@@ -344,12 +344,12 @@
             } => {
                 let source = if answer.status >= 500 {
                     self.note("failed");
-                    Source::Failed
+                    AnswerStatus::Failed
                 } else {
                     self.note("served");
-                    Source::Served
+                    AnswerStatus::Served
                 };
-                if source == Source::Failed || self.service.any_failing() {
+                if source == AnswerStatus::Failed || self.service.any_failing() {
                     self.name_to_router();
                 }
                 self.answer = Some((attempt, answer));
@@ -359,9 +359,9 @@
                 self.tell_half(attempt, figures);
                 Event::Answered {
                     attempt,
-                    source,
-                    figures,
-                    there_us,
+                    status: source,
+                    load: figures,
+                    remote_us: there_us,
                     work_us,
                 }
             }
@@ -372,7 +372,7 @@
                 Event::Refused {
                     attempt,
                     refusal,
-                    figures,
+                    load: figures,
                 }
             }
             SignalKind::TargetLost { end } => {
@@ -420,7 +420,7 @@
         let Some(request) = self.request().map(|request| request.prints().full) else {
             return;
         };
-        self.decide(Event::Named { call, request });
+        self.decide(Event::Fingerprinted { call, request });
     }
 
     fn verdict(&mut self, verdict: Verdict) -> RouteVerdict {
@@ -449,7 +449,7 @@
             return;
         }
         let call = self.call.id;
-        for action in self.decide(Event::CallerGone { call }) {
+        for action in self.decide(Event::CallerDisconnected { call }) {
             if let Action::Cancel { attempt, .. } = action {
                 self.cancel(attempt);
             }
--- a/crates/daemon/src/route/service.rs
+++ b/crates/daemon/src/route/service.rs
@@ -12,8 +12,8 @@
 use log::Level;
 use lynxcleat_once::Incarnation;
 use lynxcleat_policy::{
-    Action, Candidate, Considered, Cost, Distance, Event, Figures, Here, Homes, Micros, Redial,
-    RedialEvent, Router, TargetId, subset_with_homes,
+    Action, Candidate, Cost, Distance, Event, Figures, Here, Homes, Micros, Redial, RedialEvent,
+    Router, ScoredTarget, TargetId, subset_with_homes,
 };
 use lynxcleat_settings::Effective;
 use lynxcleat_store::{HostEntry, HostState};
@@ -70,7 +70,7 @@
     /// What is to be done.
     pub actions: Vec<Action>,
     /// Targets that a choice was made from; empty where none was.
-    pub considered: Vec<Considered>,
+    pub considered: Vec<ScoredTarget>,
     /// Further attempts that were sent.
     pub retries: u64,
     /// Failures that the request brought about itself.
@@ -141,8 +141,8 @@
     /// A daemon says that its target takes no new calls, or takes them again.
     pub fn leaving(&self, core: &Core, host: &str, leaving: bool) {
         self.tell(core, host, |target| match leaving {
-            true => Event::TargetLeaving { target },
-            false => Event::TargetBack { target },
+            true => Event::TargetDraining { target },
+            false => Event::TargetResumed { target },
         });
     }
 
@@ -153,9 +153,9 @@
 
     /// The link to a daemon may be silent, or was heard from since.
     pub fn doubted(&self, core: &Core, host: &str, doubted: bool) {
-        self.tell(core, host, |target| Event::TargetDoubted {
+        self.tell(core, host, |target| Event::TargetSuspected {
             target,
-            doubted,
+            suspected: doubted,
         });
     }
 
@@ -175,7 +175,13 @@
             return;
         };
         for service in self.all() {
-            service.feed(core, Event::FiguresSeen { target, figures });
+            service.feed(
+                core,
+                Event::LoadReported {
+                    target,
+                    load: figures,
+                },
+            );
             service.tell_half(core, target, Some(figures));
         }
     }
@@ -201,15 +207,15 @@
     /// Asks the router's decisions about a call.
     pub fn decide(&self, now: Micros, reach: Distance, event: Event) -> Decided {
         let mut router = lock(&self.router);
-        router.set_reach(reach);
+        router.set_max_distance(reach);
         let before = router.counts();
         let actions = router.on(now, event);
         let sends = matches!(actions.first(), Some(Action::Send { .. }));
         let considered = match sends {
-            true => router.considered().to_vec(),
+            true => router.scored_targets().to_vec(),
             false => Vec::new(),
         };
-        let failing = router.any_failing(now);
+        let failing = router.has_failing_requests(now);
         self.any_failing.store(failing, Ordering::Relaxed);
         Decided {
             actions,
@@ -248,7 +254,7 @@
             let linked = self.linked.notified();
             tokio::pin!(linked);
             linked.as_mut().enable();
-            let any_open = lock(&self.router).any_open(core.clock.now(), homes);
+            let any_open = lock(&self.router).any_available(core.clock.now(), homes);
             let is_tried = |peer: &Peer| peer.tried || !homes.allows(&peer.entry.region);
             let all_tried = lock(&self.peers).values().all(is_tried);
             if any_open || all_tried {
@@ -342,7 +348,7 @@
             match peers.get_mut(&target) {
                 Some(peer) => {
                     if peer.entry.state == HostState::Leaving && !leaving {
-                        self.feed(core, Event::TargetBack { target });
+                        self.feed(core, Event::TargetResumed { target });
                     }
                     peer.entry = entry;
                 }
@@ -358,7 +364,7 @@
                 }
             }
             if leaving {
-                self.feed(core, Event::TargetLeaving { target });
+                self.feed(core, Event::TargetDraining { target });
             }
         }
         self.linked.notify_waiters();
@@ -433,7 +439,7 @@
             self.feed(core, Event::TargetReplaced { target });
         }
         if link.peer.leaving {
-            self.feed(core, Event::TargetLeaving { target });
+            self.feed(core, Event::TargetDraining { target });
         }
         let linked = true;
         self.feed(core, Event::TargetLinked { target, linked });
--- a/crates/load/src/rounds.rs
+++ b/crates/load/src/rounds.rs
@@ -1,6 +1,6 @@
 //! The load cases in which policies are compared, and their figures.
 
-use lynxcleat_policy::{AdmitLimits, ChooseParams, Micros, Policy, RouterParams, WayPrices};
+use lynxcleat_policy::{AdmitLimits, Micros, Policy, RouterParams, SelectionParams, WayPrices};
 use serde::Serialize;
 
 use crate::service::{FakeService, FakeTarget, Measured, ServiceOptions};
@@ -220,7 +220,7 @@
         },
         service_us: SERVICE_US,
         params: RouterParams {
-            choose: ChooseParams {
+            selection: SelectionParams {
                 policy: balancer.policy(),
                 ramp_us: 2 * SECOND,
                 eject_failures: 5,
@@ -228,7 +228,7 @@
                 prices: WayPrices::default(),
             },
             attempt_limit: 3,
-            further: lynxcleat_policy::FurtherParams {
+            retry_budget: lynxcleat_policy::FurtherParams {
                 percent: retry_percent,
                 bound: None,
             },
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -9,8 +9,8 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use lynxcleat_policy::{
-    Action, Admit, AdmitAction, AdmitEvent, AdmitLimits, AttemptId, CallId, CallKind, CallTerms,
-    Event, Figures, Micros, Refusal, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    Action, Admit, AdmitAction, AdmitEvent, AdmitLimits, AnswerStatus, AttemptId, CallId, CallKind,
+    CallTerms, Event, Figures, Micros, Refusal, Router, RouterParams, TargetId, Verdict, WayPrices,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -264,7 +264,7 @@
             What::AtTarget { target, sent } => self.at_target(target, sent),
             What::Ended { target, local, ok } => self.ended(target, local, ok),
             What::Back { sent, reply } => self.back(sent, reply),
-            What::Deadline { router, call } => self.feed(router, Event::DeadlineOver { call }),
+            What::Deadline { router, call } => self.feed(router, Event::DeadlineExpired { call }),
             What::Join => self.join(),
         }
     }
@@ -317,7 +317,7 @@
         let event = Event::Arrived {
             call,
             deadline,
-            effect: false,
+            has_effects: false,
             may_retry: true,
             attempt_limit: None,
             goal: None,
@@ -453,22 +453,22 @@
         let event = match reply {
             Reply::Served { there_us } => Event::Answered {
                 attempt,
-                source: Source::Served,
-                figures,
-                there_us,
+                status: AnswerStatus::Served,
+                load: figures,
+                remote_us: there_us,
                 work_us: None,
             },
             Reply::Failed => Event::Answered {
                 attempt,
-                source: Source::Failed,
-                figures,
-                there_us: 0,
+                status: AnswerStatus::Failed,
+                load: figures,
+                remote_us: 0,
                 work_us: None,
             },
             Reply::Refused(nth) => Event::Refused {
                 attempt,
                 refusal: self.refusals[nth],
-                figures,
+                load: figures,
             },
         };
         let failed = reply == Reply::Failed;
--- a/crates/once/tests/world.rs
+++ b/crates/once/tests/world.rs
@@ -12,8 +12,8 @@
     Operation, Outcome, Recovery, RecoveryStep, RefusedOnce, Ticket,
 };
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, ChooseParams, Event, Policy, Refusal, RefusalReason, Router,
-    RouterParams, Settlement, Source, TargetId, Verdict, WayPrices,
+    Action, AnswerStatus, AttemptId, CallId, Event, Policy, Refusal, RefusalReason, Router,
+    RouterParams, SelectionParams, Settlement, TargetId, Verdict, WayPrices,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -152,7 +152,7 @@
             bytes: 1_000,
         };
         let params = RouterParams {
-            choose: ChooseParams {
+            selection: SelectionParams {
                 policy: Policy::ExpectedFinish,
                 ramp_us: 0,
                 eject_failures: 1_000,
@@ -160,7 +160,7 @@
                 prices: WayPrices::default(),
             },
             attempt_limit: 3,
-            further: lynxcleat_policy::FurtherParams {
+            retry_budget: lynxcleat_policy::FurtherParams {
                 percent: 100,
                 bound: None,
             },
@@ -269,7 +269,7 @@
                     Event::Arrived {
                         call,
                         deadline,
-                        effect: true,
+                        has_effects: true,
                         may_retry: true,
                         attempt_limit: None,
                         goal: None,
@@ -376,9 +376,9 @@
         let event = match back {
             Back::Answered => Event::Answered {
                 attempt,
-                source: Source::Served,
-                figures: None,
-                there_us: 1,
+                status: AnswerStatus::Served,
+                load: None,
+                remote_us: 1,
                 work_us: None,
             },
             Back::Refused => Event::Refused {
@@ -387,7 +387,7 @@
                     reason: RefusalReason::Once,
                     retry_after_us: 1,
                 },
-                figures: None,
+                load: None,
             },
             Back::Lost => Event::TargetLost { attempt },
         };
@@ -410,7 +410,7 @@
     fn deadline(&mut self, i: usize) {
         let n = i % NODES;
         if let Some(call) = self.nodes[n].calls.keys().next().copied() {
-            self.feed(n, Event::DeadlineOver { call });
+            self.feed(n, Event::DeadlineExpired { call });
         }
     }
 
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -5,8 +5,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lynxcleat_policy::{
-    Action, Admit, AdmitEvent, AdmitLimits, Budget, CallId, CallKind, CallTerms, ChooseParams,
-    Cost, Event, Figures, Policy, Router, RouterParams, Source, TargetId, WayPrices,
+    Action, Admit, AdmitEvent, AdmitLimits, AnswerStatus, Budget, CallId, CallKind, CallTerms,
+    Cost, Event, Figures, Policy, Router, RouterParams, SelectionParams, TargetId, WayPrices,
 };
 
 const FIGURES: Figures = Figures {
@@ -20,7 +20,7 @@
 
 fn router(policy: Policy, targets: u32) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy,
             ramp_us: 0,
             eject_failures: 5,
@@ -28,7 +28,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 3,
-        further: lynxcleat_policy::FurtherParams {
+        retry_budget: lynxcleat_policy::FurtherParams {
             percent: 10,
             bound: None,
         },
@@ -46,7 +46,7 @@
     let arrived = Event::Arrived {
         call: CallId(*now),
         deadline: *now + 1_000_000,
-        effect: false,
+        has_effects: false,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -58,9 +58,9 @@
     };
     let answered = Event::Answered {
         attempt: *attempt,
-        source: Source::Served,
-        figures: Some(FIGURES),
-        there_us: 5_000,
+        status: AnswerStatus::Served,
+        load: Some(FIGURES),
+        remote_us: 5_000,
         work_us: None,
     };
     black_box(router.on(*now + 5_300, answered));
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,5 +1,4 @@
-//! What happens to a router, and what it decides: the words that routers, their
-//! shells and the mesh share.
+//! Events that drive a [`Router`](crate::Router), and the actions that it returns.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,36 +15,36 @@
 pub enum RefusalReason {
     /// No slot is free and the hold queue is full.
     Full,
-    /// No slot is free or the target is slow, and the call can be offered to another one.
+    /// No slot is free or the target is slow, and the call can be offered to another target.
     Busy,
-    /// It could not finish before its deadline.
+    /// The call could not finish before its deadline.
     TooLate,
-    /// The target is cold and was given as many calls as it bears.
+    /// The target is still warming up and has as many calls as it can take.
     Cold,
-    /// The target takes no new calls.
+    /// The target is draining and takes no new calls.
     Leaving,
-    /// The target could not be reached by its own daemon.
+    /// The target's own daemon could not reach it.
     TargetDown,
-    /// The target itself said that it did not run the call.
+    /// The target itself reported that it did not run the call.
     Shed,
-    /// The operation was fenced, expired, or cannot be remembered.
+    /// The operation was fenced, has expired, or cannot be recorded.
     Once,
     /// The target belongs to another service.
     WrongService,
-    /// The target stands outside the call's home regions.
+    /// The target is outside the call's home regions.
     OutsideHome,
-    /// The target has a version that gets no such call while a rollout goes on.
+    /// The target runs a version that does not take this call during a rollout.
     Version,
-    /// Targets ended under the same request, so that it is offered to none for a while.
+    /// Targets crashed on the same request, so it is temporarily offered to none.
     Quarantined,
 }
 
-/// A definite statement that a call was not run, with when to come back.
+/// A definite statement that a call was not run, with a retry hint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
     /// Why it was not run.
     pub reason: RefusalReason,
-    /// Time after which a new try makes sense.
+    /// Delay after which a retry may succeed.
     pub retry_after_us: Micros,
 }
 
@@ -53,17 +52,17 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
-    /// No target of the service is known, open or left to try.
+    /// No target of the service is known, available or untried.
     NoTarget,
-    /// No target in the call's home regions is known, open or left to try.
+    /// No target in the call's home regions is known, available or untried.
     NoHomeTarget,
-    /// Targets refused and no further attempt is allowed.
+    /// Targets refused the call and no further attempt is allowed.
     Refused(RefusalReason),
-    /// The call was never sent before its deadline.
+    /// The deadline expired before the call was sent.
     Deadline,
-    /// A target's link could not be had.
+    /// No link to a target's daemon could be established.
     NoLink,
-    /// Targets ended under the same request, so that it is offered to none for a while.
+    /// Targets crashed on the same request, so it is temporarily offered to none.
     Quarantined,
 }
 
@@ -73,7 +72,7 @@
 pub enum UnknownReason {
     /// A target has the call and did not answer before the deadline.
     Deadline,
-    /// The link to a target's daemon was lost and could not be settled.
+    /// The link to a target's daemon was lost and the attempt's outcome could not be resolved.
     LinkLost,
     /// The target's daemon delivered the call and lost the target's answer.
     TargetLost,
@@ -84,60 +83,60 @@
 pub enum Verdict {
     /// The answer of this attempt.
     Answer {
-        /// The attempt whose answer is passed on.
+        /// The attempt whose answer is forwarded.
         attempt: AttemptId,
     },
-    /// It was not run and never will be.
+    /// The call was not run and never will be.
     NotRun {
         /// Why.
         reason: NotRunReason,
-        /// When to come back.
+        /// Delay after which a retry may succeed.
         retry_after_us: Micros,
     },
-    /// It may have run.
+    /// The call may have run.
     Unknown {
         /// Why.
         reason: UnknownReason,
     },
 }
 
-/// What settling an attempt with a target's daemon brought.
+/// The outcome of an attempt as resolved with the target's daemon after a lost link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Settlement {
     /// It never ran there and never will.
     NeverRan,
-    /// It ran; the shell holds its answer under the attempt.
+    /// It ran; the I/O layer holds its answer under the attempt's id.
     Ran,
-    /// It cannot be known.
+    /// The outcome cannot be determined.
     Unknown,
 }
 
-/// How an answer came about.
+/// Whether an answer is a success or a server error.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Source {
+pub enum AnswerStatus {
     /// The target served the call.
     Served,
     /// The target answered with a server error.
     Failed,
 }
 
-/// What happens to a router.
+/// An input of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Says where a call may be served: before it arrives, where that is not anywhere, and
-    /// whenever it changes.
-    Bound {
+    /// Sets the regions in which a call may be served. Sent before [`Event::Arrived`] if the
+    /// call is restricted, and again whenever the restriction changes.
+    HomesSet {
         /// The call.
         call: CallId,
         /// Its home regions.
         homes: Homes,
     },
-    /// Says what a call holds, before an end of it that may be its own doing, or that shows
-    /// that a failure was not.
-    Named {
+    /// Sets the fingerprint of a call's request. Sent before a failure that the request itself
+    /// may have caused, and before a success that shows that earlier failures had another cause.
+    Fingerprinted {
         /// The call.
         call: CallId,
-        /// Fingerprint of all that it holds.
+        /// Fingerprint of the whole request.
         request: Fingerprint,
     },
     /// A caller's call arrived.
@@ -147,14 +146,14 @@
         /// When its answer is no longer useful.
         deadline: Micros,
         /// Whether running it twice would do harm.
-        effect: bool,
-        /// Whether a further attempt is allowed at all: a retry of a call
-        /// higher up the chain takes that right away.
+        has_effects: bool,
+        /// Whether further attempts are allowed. They are not if this call belongs to a retry
+        /// of a call higher up the call chain.
         may_retry: bool,
-        /// Targets it may be delivered to, where its route limits them further
-        /// than the settings of its service.
+        /// Maximum number of targets it may be delivered to, if its route sets a lower
+        /// limit than its service.
         attempt_limit: Option<u32>,
-        /// When its answer loses most of its worth, where its route says so.
+        /// When its answer loses most of its value, if its route sets a goal.
         goal: Option<Micros>,
         /// What kind of call it is.
         kind: CallKind,
@@ -163,30 +162,31 @@
     Answered {
         /// The attempt.
         attempt: AttemptId,
-        /// How the answer came about.
-        source: Source,
-        /// Load of the target, where the measuring budget let it ride along.
-        figures: Option<Figures>,
-        /// Time at the target's daemon, held and served.
-        there_us: u32,
-        /// Time that the call would have taken at usual speed, where it is known.
+        /// Whether the target served or failed the call.
+        status: AnswerStatus,
+        /// Load of the target, if the measurement budget allowed the answer to carry it.
+        load: Option<Figures>,
+        /// Time between the call's arrival at the target's daemon and its answer, both held
+        /// and served.
+        remote_us: u32,
+        /// Time that the call would have taken at usual speed, if known.
         work_us: Option<u32>,
     },
-    /// A target's daemon says that it did not run the call.
+    /// A target's daemon did not run the call.
     Refused {
         /// The attempt.
         attempt: AttemptId,
-        /// Why, and when to come back.
+        /// Why, and when to retry.
         refusal: Refusal,
-        /// Load of the target, where the measuring budget let it ride along.
-        figures: Option<Figures>,
+        /// Load of the target, if the measurement budget allowed the refusal to carry it.
+        load: Option<Figures>,
     },
     /// The target's daemon delivered the call and lost the target's answer.
     TargetLost {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// No link could be had; nothing was sent.
+    /// No link could be established; nothing was sent.
     NotSent {
         /// The attempt.
         attempt: AttemptId,
@@ -196,96 +196,96 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Settling ended.
+    /// The outcome of an attempt was resolved with the target's daemon, or could not be.
     Settled {
         /// The attempt.
         attempt: AttemptId,
-        /// What it brought.
+        /// The resolved outcome.
         settlement: Settlement,
     },
-    /// Targets ended under the same request: it goes nowhere else.
+    /// Targets crashed on the same request: no further attempt is made.
     Quarantined {
         /// The call.
         call: CallId,
-        /// Time after which a new try makes sense.
+        /// Delay after which a retry may succeed.
         retry_after_us: Micros,
     },
-    /// Some of a call's body was read and sent, so that it cannot be sent anywhere else.
-    BodyBegun {
+    /// Part of a call's body was read and sent, so the call cannot be sent anywhere else.
+    BodyStarted {
         /// The call.
         call: CallId,
     },
-    /// A call's deadline is over.
-    DeadlineOver {
+    /// A call's deadline expired.
+    DeadlineExpired {
         /// The call.
         call: CallId,
     },
-    /// The caller went away.
-    CallerGone {
+    /// The caller disconnected.
+    CallerDisconnected {
         /// The call.
         call: CallId,
     },
-    /// A target takes no new calls.
-    TargetLeaving {
+    /// A target is draining: it takes no new calls.
+    TargetDraining {
         /// The target.
         target: TargetId,
     },
-    /// A target takes calls again.
-    TargetBack {
+    /// A target that was draining takes calls again.
+    TargetResumed {
         /// The target.
         target: TargetId,
     },
-    /// A target's daemon says that nothing listens at the target's address, or something does
-    /// again.
+    /// A target's daemon reports that nothing listens at the target's address, or that
+    /// something does again.
     TargetDown {
         /// The target.
         target: TargetId,
-        /// Whether nothing does.
+        /// Whether the target is down.
         down: bool,
     },
-    /// The link to a target's daemon may be silent, or was heard from since.
-    TargetDoubted {
+    /// The link to a target's daemon may be silent, or has carried data since.
+    TargetSuspected {
         /// The target.
         target: TargetId,
-        /// Whether it may be silent.
-        doubted: bool,
+        /// Whether the link may be silent.
+        suspected: bool,
     },
-    /// The link to a target's daemon was made or lost.
+    /// The link to a target's daemon was established or lost.
     TargetLinked {
         /// The target.
         target: TargetId,
-        /// Whether it stands.
+        /// Whether the link is up.
         linked: bool,
     },
-    /// A target's daemon is another incarnation than before.
+    /// A target's daemon was replaced by another incarnation.
     TargetReplaced {
         /// The target.
         target: TargetId,
     },
-    /// A target's load came apart from an answer.
-    FiguresSeen {
+    /// A target's load was reported separately from any answer.
+    LoadReported {
         /// The target.
         target: TargetId,
         /// Its load.
-        figures: Figures,
+        load: Figures,
     },
 }
 
-/// What the shell has to do.
+/// An instruction of a router to the I/O layer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Send the call to a target's daemon.
     Send {
         /// The call.
         call: CallId,
-        /// Name of this attempt.
+        /// Id of this attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The target.
         target: TargetId,
         /// Where the call can be offered if the target's daemon refuses it.
         elsewhere: Elsewhere,
     },
-    /// Ask the target's daemon what became of an attempt, and fence it there.
+    /// Ask the target's daemon for the outcome of an attempt, and fence the attempt there.
     Settle {
         /// The call.
         call: CallId,
@@ -294,15 +294,15 @@
         /// Where it was sent.
         target: TargetId,
     },
-    /// Tell the target's daemon that the attempt is no longer wanted.
+    /// Tell the target's daemon that the attempt is no longer needed.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
         /// Where it was sent.
         target: TargetId,
     },
-    /// Tell the target's daemon that the attempt is no longer wanted unless it was
-    /// delivered already; its end is still to be heard.
+    /// Tell the target's daemon to drop the attempt unless it was already delivered. The
+    /// outcome is still reported.
     Withdraw {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,7 +13,6 @@
 mod body_window;
 mod budget;
 mod chance;
-mod chooser;
 mod cold;
 mod copy_rate;
 mod distance;
@@ -40,6 +39,7 @@
 mod rollout;
 mod router;
 mod sample;
+mod selector;
 mod settings_sources;
 mod silence;
 mod slowness;
@@ -55,14 +55,14 @@
 pub use body_window::{BodyFault, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
 pub use chance::Need;
-pub use chooser::{ChooseParams, Chooser, Considered};
 pub use cold::{ColdBound, FirstReport};
 pub use copy_rate::CopyRate;
 pub use distance::{Distance, WayPrices};
 pub use elsewhere::Elsewhere;
 pub use evacuation::{Evacuations, ZoneNews};
 pub use event::{
-    Action, Event, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
+    Action, AnswerStatus, Event, NotRunReason, Refusal, RefusalReason, Settlement, UnknownReason,
+    Verdict,
 };
 pub use fair_budget::FairBudget;
 pub use figures::Figures;
@@ -95,10 +95,11 @@
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
+pub use selector::{ScoredTarget, SelectionParams, TargetSelector};
 pub use settings_sources::{NextSource, SettingsSource, SettingsSources};
 pub use silence::SilenceLimit;
 pub use slowness::{LikelySlowness, SlownessReading, UsualSlowness};
 pub use spell::Spells;
 pub use subset::{Candidate, Here, OTHER_REGIONS_MIN, subset};
-pub use target::{Health, TargetState, Usual};
+pub use target::{Health, ServiceAverages, TargetState};
 pub use work::{CallKind, Work, Works};
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,17 +1,16 @@
-//! The router half's decisions for the calls of one service: where to send a
-//! call, whether to send it again, and what its caller is told.
+//! Routing decisions for the calls of one service: where to send a call, whether to send it
+//! again, and what its caller is told.
 //!
-//! `not-run` is said only when every attempt ended in a definite refusal or was
-//! never sent. A call with effects whose link was lost is settled with the
-//! target's daemon before anything is said; a lookup may be sent again instead.
-//! A call that is given up is answered at once.
+//! A caller is told `not-run` only if every attempt ended in a definite refusal or was never
+//! sent. If the link of a call with effects is lost, its outcome is first resolved with the
+//! target's daemon; a lookup may be sent again instead. A call without any target left is
+//! answered at once.
 
 mod outcomes;
-mod own_failures;
+mod request_failures;
 
 use std::collections::HashMap;
 
-use crate::chooser::{ChooseParams, Chooser, Considered, Wanted};
 use crate::distance::Distance;
 use crate::elsewhere::Elsewhere;
 use crate::event::{Action, Event, NotRunReason, UnknownReason, Verdict};
@@ -21,63 +20,64 @@
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
 use crate::retry::{FurtherAttempts, FurtherParams};
 use crate::rollout::{RolloutLanes, RolloutTargets};
+use crate::selector::{ScoredTarget, SelectionParams, SelectionRequest, TargetSelector};
 use crate::target::TargetState;
 use crate::work::CallKind;
 
-use own_failures::OwnFailures;
+use request_failures::RequestFailures;
 
-/// Hint for callers when no target is known or open.
+/// Retry hint for callers if no target is known or available.
 const NO_TARGET_RETRY_AFTER_US: Micros = 500_000;
 
 /// Settings of one service's router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterParams {
-    /// Settings of the choice.
-    pub choose: ChooseParams,
-    /// Targets one call may be offered to.
+    /// Settings of target selection.
+    pub selection: SelectionParams,
+    /// Maximum number of targets that one call may be delivered to.
     pub attempt_limit: u32,
-    /// How many further attempts may be sent.
-    pub further: FurtherParams,
-    /// Targets a call may be offered to once more after its daemon refused it, beyond
-    /// the attempts: such an offer never reached a target.
+    /// Budget for further attempts.
+    pub retry_budget: FurtherParams,
+    /// Maximum number of further offers of a call after refusals by targets' daemons. They do
+    /// not count as attempts, because a refused offer never reached a target.
     pub reroute_limit: u32,
 }
 
-/// What a router counts of its decisions.
+/// Counters of a router's decisions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RouterCounts {
     /// Further attempts sent.
     pub retries: u64,
-    /// Failures that requests brought about themselves, charged to no target.
+    /// Failures that were caused by the request and count against no target.
     pub own_failures: u64,
 }
 
 #[derive(Debug)]
 struct Call {
     deadline: Micros,
-    effect: bool,
+    has_effects: bool,
     may_retry: bool,
     attempt_limit: u32,
     goal: Micros,
     kind: CallKind,
-    /// What it holds, where the shell said so.
+    /// Fingerprint of its request, if reported.
     request: Option<Fingerprint>,
     tried: Vec<TargetId>,
-    /// Offers that a target's daemon refused, so that they never reached a target.
+    /// Offers that a target's daemon refused, which never reached a target.
     refusals: u32,
     /// Offers that found the target down, or no link to its daemon.
     unreached: u32,
     current: Option<AttemptId>,
-    /// An earlier attempt of a lookup may have run.
+    /// Set if an earlier attempt of a lookup may have run.
     may_have_run: Option<UnknownReason>,
-    /// An earlier attempt of a lookup ran and failed; the shell holds its answer.
+    /// An earlier attempt of a lookup that ran and failed; the I/O layer holds its answer.
     failed: Option<AttemptId>,
-    /// The target of the first such attempt, until another target shows whose fault it was.
-    doubted: Option<TargetId>,
+    /// The target of the first failed attempt, until a second target shows whether the target
+    /// or the request was at fault.
+    first_failed_target: Option<TargetId>,
     soonest_retry_us: Option<Micros>,
     last_refusal: NotRunReason,
-    /// Present where it goes nowhere else since targets ended under the same request: when to
-    /// come back.
+    /// Retry delay, if targets crashed on the same request so that no further attempt is made.
     quarantined_us: Option<Micros>,
 }
 
@@ -92,84 +92,84 @@
 /// The router of one service.
 #[derive(Debug)]
 pub struct Router {
-    chooser: Chooser,
+    selector: TargetSelector,
     attempt_limit: u32,
     reroute_limit: u32,
-    further: FurtherAttempts,
+    retry_budget: FurtherAttempts,
     calls: HashMap<CallId, Call>,
-    bound: BoundCalls,
+    home_calls: BoundCalls,
     attempts: HashMap<AttemptId, Attempt>,
     next_attempt: u64,
-    considered: Vec<Considered>,
+    scored_targets: Vec<ScoredTarget>,
     counts: RouterCounts,
-    own_failures: OwnFailures,
+    request_failures: RequestFailures,
     rollout: Option<RolloutLanes>,
 }
 
 impl Router {
-    /// A router that knows no target. Attempts are numbered from `first_attempt`
-    /// in steps of one, so the shell can keep several routers apart.
+    /// Creates a router without targets. Attempt ids count up from `first_attempt`, so that
+    /// several routers can use disjoint ranges.
     pub fn new(params: RouterParams, seed: u64, first_attempt: u64) -> Self {
         Router {
-            chooser: Chooser::new(params.choose, seed),
+            selector: TargetSelector::new(params.selection, seed),
             attempt_limit: params.attempt_limit,
             reroute_limit: params.reroute_limit,
-            further: FurtherAttempts::new(params.further),
+            retry_budget: FurtherAttempts::new(params.retry_budget),
             calls: HashMap::new(),
-            bound: BoundCalls::default(),
+            home_calls: BoundCalls::default(),
             attempts: HashMap::new(),
             next_attempt: first_attempt,
-            considered: Vec::new(),
+            scored_targets: Vec::new(),
             counts: RouterCounts::default(),
-            own_failures: OwnFailures::default(),
+            request_failures: RequestFailures::default(),
             rollout: None,
         }
     }
 
-    /// Changes the settings; calls in hand go on.
+    /// Changes the settings; pending calls continue.
     pub fn set_params(&mut self, params: RouterParams) {
-        self.chooser.set_params(params.choose);
+        self.selector.set_params(params.selection);
         self.attempt_limit = params.attempt_limit;
         self.reroute_limit = params.reroute_limit;
-        self.further.set(params.further);
+        self.retry_budget.set(params.retry_budget);
     }
 
-    /// The targets and what is known of them.
-    pub fn chooser(&self) -> &Chooser {
-        &self.chooser
+    /// The targets and their state.
+    pub fn selector(&self) -> &TargetSelector {
+        &self.selector
     }
 
-    /// Makes these the targets, each with its path time in microseconds.
+    /// Replaces the set of targets, given with their path times in microseconds.
     pub fn set_targets(&mut self, now: Micros, targets: &[(TargetId, f64)]) {
-        self.chooser.set_targets(now, targets);
+        self.selector.set_targets(now, targets);
     }
 
-    /// Says in which regions the targets stand, for calls with home regions.
+    /// Sets the regions of the targets, for calls with home regions.
     pub fn set_regions(&mut self, regions: Vec<(TargetId, String)>) {
-        self.bound.set_regions(regions);
+        self.home_calls.set_regions(regions);
     }
 
-    /// Whether a call with these home regions may be sent somewhere now.
-    pub fn any_open(&self, now: Micros, homes: &Homes) -> bool {
+    /// Whether a call with these home regions can be sent somewhere now.
+    pub fn any_available(&self, now: Micros, homes: &Homes) -> bool {
         if homes.is_anywhere() {
-            return self.chooser.any_open(now);
+            return self.selector.any_available(now);
         }
-        let outside = self.bound.outside(homes, self.chooser.targets());
-        self.chooser.elsewhere(now, &outside) != Elsewhere::Nowhere
+        let outside = self.home_calls.outside(homes, self.selector.targets());
+        self.selector.elsewhere(now, &outside) != Elsewhere::Nowhere
     }
 
-    /// Says how far away targets are, so that sending a call there has its price.
+    /// Sets how far away targets are, which determines the cost of sending calls there.
     pub fn set_distances(&mut self, distances: &[(TargetId, Distance)]) {
-        self.chooser.set_distances(distances);
+        self.selector.set_distances(distances);
     }
 
-    /// Says how far away the targets of the next choices may be.
-    pub fn set_reach(&mut self, reach: Distance) {
-        self.chooser.set_reach(reach);
+    /// Limits how far away the targets of the next calls may be.
+    pub fn set_max_distance(&mut self, max_distance: Distance) {
+        self.selector.set_max_distance(max_distance);
     }
 
-    /// Says how a rollout divides the targets; nothing where none goes on. What was offered
-    /// to the new version since the order counts on.
+    /// Sets how a rollout divides the targets, or `None` if there is no rollout. The count of
+    /// calls offered to the new version continues as long as the rollout order is the same.
     pub fn set_rollout(&mut self, targets: Option<RolloutTargets>) {
         let before = self.rollout.take();
         self.rollout = targets.map(|targets| {
@@ -180,50 +180,50 @@
                 exposure: exposure.unwrap_or_default(),
             }
         });
-        let lane = self.rollout.as_ref().map(RolloutLanes::usual);
-        self.chooser.set_lane(lane.unwrap_or_default());
+        let filter = self.rollout.as_ref().map(RolloutLanes::usual);
+        self.selector.set_filter(filter.unwrap_or_default());
     }
 
-    /// Whether a target has the version that a rollout moves calls to.
-    pub fn is_new(&self, target: TargetId) -> bool {
+    /// Whether a target runs the version that a rollout moves calls to.
+    pub fn is_new_version(&self, target: TargetId) -> bool {
         let rollout = self.rollout.as_ref();
         rollout.is_some_and(|rollout| rollout.targets.new.contains(&target))
     }
 
-    /// Calls that were offered to the new version and may have reached it.
+    /// Number of calls that were offered to the new version and may have reached it.
     pub fn canary_calls(&self) -> u64 {
         let rollout = self.rollout.as_ref();
         rollout.map_or(0, |rollout| rollout.exposure.canary())
     }
 
-    /// Targets scored for the last choice, for explanations.
-    pub fn considered(&self) -> &[Considered] {
-        &self.considered
+    /// Targets scored for the last selection, for the `explain` output.
+    pub fn scored_targets(&self) -> &[ScoredTarget] {
+        &self.scored_targets
     }
 
-    /// What was counted since the router was made.
+    /// Counters since the router was created.
     pub fn counts(&self) -> RouterCounts {
         self.counts
     }
 
-    /// Whether some request failed lately, so that those which are served have to be named too.
-    pub fn any_failing(&mut self, now: Micros) -> bool {
-        self.own_failures.any(now)
+    /// Whether some request failed recently, so that served requests need a fingerprint too.
+    pub fn has_failing_requests(&mut self, now: Micros) -> bool {
+        self.request_failures.any(now)
     }
 
-    /// Calls in hand.
-    pub fn calls(&self) -> usize {
+    /// Number of pending calls.
+    pub fn pending_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Takes one event and says what to do.
+    /// Handles one event and returns the resulting actions.
     pub fn on(&mut self, now: Micros, event: Event) -> Vec<Action> {
         match event {
-            Event::Bound { call, homes } => {
-                self.bound.bind(call, homes);
+            Event::HomesSet { call, homes } => {
+                self.home_calls.bind(call, homes);
                 Vec::new()
             }
-            Event::Named { call, request } => {
+            Event::Fingerprinted { call, request } => {
                 if let Some(call) = self.calls.get_mut(&call) {
                     call.request = Some(request);
                 }
@@ -232,17 +232,17 @@
             Event::Arrived {
                 call,
                 deadline,
-                effect,
+                has_effects,
                 may_retry,
                 attempt_limit,
                 goal,
                 kind,
             } => {
                 let limit = attempt_limit.unwrap_or(u32::MAX).min(self.attempt_limit);
-                self.further.first_attempt(now);
+                self.retry_budget.first_attempt(now);
                 let arrived = Call {
                     deadline,
-                    effect,
+                    has_effects,
                     may_retry,
                     attempt_limit: limit,
                     goal: goal.unwrap_or(deadline).min(deadline),
@@ -254,29 +254,29 @@
                     current: None,
                     may_have_run: None,
                     failed: None,
-                    doubted: None,
+                    first_failed_target: None,
                     soonest_retry_us: None,
                     last_refusal: NotRunReason::NoTarget,
                     quarantined_us: None,
                 };
                 self.calls.insert(call, arrived);
-                self.attempt(now, call)
+                self.send(now, call)
             }
             Event::Answered {
                 attempt,
-                source,
-                figures,
-                there_us,
+                status,
+                load,
+                remote_us,
                 work_us,
             } => {
-                self.learn_work(attempt, work_us);
-                self.answered(now, attempt, source, figures, there_us)
+                self.record_work(attempt, work_us);
+                self.answered(now, attempt, status, load, remote_us)
             }
             Event::Refused {
                 attempt,
                 refusal,
-                figures,
-            } => self.refused(now, attempt, refusal, figures),
+                load,
+            } => self.refused(now, attempt, refusal, load),
             Event::TargetLost { attempt } => self.target_lost(now, attempt),
             Event::NotSent { attempt } => self.not_sent(now, attempt),
             Event::LinkLost { attempt } => self.link_lost(now, attempt),
@@ -284,37 +284,35 @@
                 attempt,
                 settlement,
             } => self.settled(now, attempt, settlement),
-            Event::BodyBegun { call } => self.body_begun(call),
+            Event::BodyStarted { call } => self.body_started(call),
             Event::Quarantined {
                 call,
                 retry_after_us,
             } => self.quarantined(call, retry_after_us),
-            Event::DeadlineOver { call } => self.deadline_over(now, call),
-            Event::CallerGone { call } => self.caller_gone(now, call),
-            Event::TargetLeaving { target } => self.target_event(target, |state| state.leave()),
-            Event::TargetBack { target } => self.target_event(target, |state| state.rejoin(now)),
+            Event::DeadlineExpired { call } => self.deadline_expired(now, call),
+            Event::CallerDisconnected { call } => self.caller_disconnected(now, call),
+            Event::TargetDraining { target } => self.target_event(target, |state| state.drain()),
+            Event::TargetResumed { target } => self.target_event(target, |state| state.resume(now)),
             Event::TargetLinked { target, linked } => {
                 self.target_event(target, |state| state.set_linked(linked))
             }
             Event::TargetDown { target, down } => {
-                self.chooser.set_down(now, target, down);
+                self.selector.set_down(now, target, down);
                 Vec::new()
             }
-            Event::TargetDoubted { target, doubted } => {
-                self.target_event(target, |state| state.set_doubted(doubted))
+            Event::TargetSuspected { target, suspected } => {
+                self.target_event(target, |state| state.set_suspected(suspected))
             }
-            Event::TargetReplaced { target } => {
-                self.target_event(target, |state| state.replaced(now))
-            }
-            Event::FiguresSeen { target, figures } => {
-                self.learn(now, target, Some(figures));
+            Event::TargetReplaced { target } => self.target_event(target, |state| state.reset(now)),
+            Event::LoadReported { target, load } => {
+                self.record_load(now, target, Some(load));
                 Vec::new()
             }
         }
     }
 
-    /// Sends the call to the best target not yet tried, or gives it up.
-    fn attempt(&mut self, now: Micros, id: CallId) -> Vec<Action> {
+    /// Sends the call to the best target not yet tried, or ends the call if there is none.
+    fn send(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
@@ -322,26 +320,27 @@
             call.last_refusal = NotRunReason::Deadline;
             return self.give_up(now, id);
         }
-        let targets = self.chooser.targets();
-        let passed_over = self.bound.passed_over(id, &call.tried, targets);
-        let wanted = Wanted {
-            tried: &passed_over,
+        let targets = self.selector.targets();
+        let excluded = self.home_calls.passed_over(id, &call.tried, targets);
+        let request = SelectionRequest {
+            excluded: &excluded,
             goal: call.goal,
             deadline: call.deadline,
             kind: call.kind,
         };
-        // A call that a canary refuses or fails has to have somewhere else to go.
+        // A call that a canary refuses or fails must have another target to go to.
         let may_be_canary = call.may_retry && call.tried.is_empty();
-        let chosen = match self.rollout.as_mut().filter(|_| may_be_canary) {
-            None => self.chooser.choose(now, wanted, &mut self.considered),
-            Some(rollout) => rollout.choose(now, wanted, &mut self.chooser, &mut self.considered),
+        let scored = &mut self.scored_targets;
+        let selected = match self.rollout.as_mut().filter(|_| may_be_canary) {
+            None => self.selector.select(now, request, scored),
+            Some(rollout) => rollout.choose(now, request, &mut self.selector, scored),
         };
-        let Some(target) = chosen else {
+        let Some(target) = selected else {
             return self.give_up(now, id);
         };
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
-        drop(passed_over);
+        drop(excluded);
         call.tried.push(target);
         call.current = Some(attempt);
         self.attempts.insert(
@@ -356,9 +355,9 @@
         let can_move = call.may_retry && call.refusals < self.reroute_limit;
         let elsewhere = match can_move {
             true => {
-                let targets = self.chooser.targets();
-                let passed_over = self.bound.passed_over(id, &call.tried, targets);
-                self.chooser.elsewhere(now, &passed_over)
+                let targets = self.selector.targets();
+                let excluded = self.home_calls.passed_over(id, &call.tried, targets);
+                self.selector.elsewhere(now, &excluded)
             }
             false => Elsewhere::Nowhere,
         };
@@ -370,43 +369,44 @@
         }]
     }
 
-    /// Tries elsewhere within the attempt limit and the retry budget.
-    fn attempt_elsewhere(&mut self, now: Micros, id: CallId) -> Vec<Action> {
+    /// Sends the call to another target within the attempt limit and the retry budget.
+    fn retry(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
         call.current = None;
-        let never_ran = call.refusals + call.unreached;
-        let delivered = call.tried.len().saturating_sub(never_ran as usize);
+        let undelivered = call.refusals + call.unreached;
+        let delivered = call.tried.len().saturating_sub(undelivered as usize);
         let allowed = call.may_retry && delivered < call.attempt_limit as usize;
-        if !allowed || !self.further.take(now) {
+        if !allowed || !self.retry_budget.take(now) {
             return self.give_up(now, id);
         }
-        let actions = self.attempt(now, id);
+        let actions = self.send(now, id);
         if matches!(actions.first(), Some(Action::Send { .. })) {
             self.counts.retries += 1;
         }
         actions
     }
 
-    /// Offers a call elsewhere that its target's daemon refused.
+    /// Offers a call to another target after the target's daemon refused it.
     fn reroute(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         let limit = self.reroute_limit;
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
         if call.refusals >= limit || !call.may_retry {
-            return self.attempt_elsewhere(now, id);
+            return self.retry(now, id);
         }
         call.refusals += 1;
         call.current = None;
-        self.attempt(now, id)
+        self.send(now, id)
     }
 
-    /// Offers a call elsewhere that found its target down, or no link to its daemon, until none
-    /// is left that is not known to be. Counted as attempts, such offers left 11 % of the calls
-    /// refused while seven of ten targets stood idle.
-    fn pass_on(&mut self, now: Micros, id: CallId) -> Vec<Action> {
+    /// Offers a call to another target after its target was down or no link to the daemon
+    /// could be established, until every target that is not known to be down was tried. Such
+    /// offers do not count as attempts: when they did, 11 % of the calls were refused while
+    /// seven of ten targets were idle.
+    fn send_past_unreachable(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
@@ -415,17 +415,17 @@
             return self.give_up(now, id);
         }
         call.unreached += 1;
-        self.attempt(now, id)
+        self.send(now, id)
     }
 
-    /// Answers a call that no attempt is out for.
+    /// Ends a call that has no attempt in flight.
     fn give_up(&mut self, now: Micros, id: CallId) -> Vec<Action> {
-        let is_bound = self.bound.forget(id);
+        let has_homes = self.home_calls.forget(id);
         let Some(mut call) = self.calls.remove(&id) else {
             return Vec::new();
         };
-        self.charge(now, &call);
-        if is_bound && call.last_refusal == NotRunReason::NoTarget {
+        self.record_first_failure(now, &call);
+        if has_homes && call.last_refusal == NotRunReason::NoTarget {
             call.last_refusal = NotRunReason::NoHomeTarget;
         }
         if let Some(retry_after_us) = call.quarantined_us {
@@ -444,61 +444,64 @@
     }
 
     fn finish(&mut self, now: Micros, id: CallId, verdict: Verdict) -> Vec<Action> {
-        self.bound.forget(id);
+        self.home_calls.forget(id);
         let Some(call) = self.calls.remove(&id) else {
             return Vec::new();
         };
-        self.charge(now, &call);
+        self.record_first_failure(now, &call);
         vec![Action::Finish { call: id, verdict }]
     }
 
-    /// A call ended that one target failed, and that no other did: that was the target's
-    /// fault, as far as can be known.
-    fn charge(&mut self, now: Micros, call: &Call) {
-        if let Some(target) = call.doubted {
-            self.charge_target(now, call.request, target);
+    /// Records the failure of an ended call that failed at one target only. As far as can be
+    /// known, the target was at fault.
+    fn record_first_failure(&mut self, now: Micros, call: &Call) {
+        if let Some(target) = call.first_failed_target {
+            self.record_failure(now, call.request, target);
         }
     }
 
-    /// A request failed at a target, which is charged for it unless the request failed
-    /// elsewhere before. Charged to all of them, 40 repetitions of one bad operation left a
-    /// daemon no target for other calls, 0 of 20 served; now 20 of 20.
-    fn charge_target(&mut self, now: Micros, request: Option<Fingerprint>, target: TargetId) {
-        match self.remember_failure(now, request, target) {
-            true => self.excuse(target),
-            false => self.chooser.failed(now, target),
+    /// Records a failure of a request at a target. It counts against the target unless the
+    /// request failed at another target before. When it counted against every target, 40
+    /// repetitions of one bad operation left a daemon no target for other calls: 0 of 20 were
+    /// served, compared to 20 of 20 now.
+    fn record_failure(&mut self, now: Micros, request: Option<Fingerprint>, target: TargetId) {
+        match self.record_request_failure(now, request, target) {
+            true => self.count_own_failure(target),
+            false => self.selector.record_failure(now, target),
         }
     }
 
-    /// Remembers a failure of a request that was named. Returns whether it is its own doing.
-    fn remember_failure(
+    /// Records a failure of a request, if its fingerprint is known. Returns whether the request
+    /// is at fault.
+    fn record_request_failure(
         &mut self,
         now: Micros,
         request: Option<Fingerprint>,
         target: TargetId,
     ) -> bool {
-        request.is_some_and(|request| self.own_failures.failed(now, request, target))
+        request.is_some_and(|request| self.request_failures.record_failure(now, request, target))
     }
 
-    fn excuse(&mut self, target: TargetId) {
+    fn count_own_failure(&mut self, target: TargetId) {
         self.counts.own_failures += 1;
-        self.with_target(target, TargetState::trial_told_nothing);
+        self.with_target(target, TargetState::end_trial);
     }
 
     fn request_of(&self, call: CallId) -> Option<Fingerprint> {
         self.calls.get(&call)?.request
     }
 
-    /// Ends an attempt; a late word about one that is over counts for nothing.
-    fn end(&mut self, attempt: AttemptId) -> Option<Attempt> {
+    /// Removes an attempt that ended. Returns `None` for late events of a removed attempt,
+    /// which are ignored.
+    fn end_attempt(&mut self, attempt: AttemptId) -> Option<Attempt> {
         let ended = self.attempts.remove(&attempt)?;
-        if let Some(state) = self.chooser.target_mut(ended.target) {
-            state.ended();
+        if let Some(state) = self.selector.target_mut(ended.target) {
+            state.record_end();
         }
         Some(ended)
     }
 
-    /// What is out for it goes on.
+    /// Prevents further attempts; an attempt in flight continues.
     fn quarantined(&mut self, id: CallId, retry_after_us: Micros) -> Vec<Action> {
         if let Some(call) = self.calls.get_mut(&id) {
             call.may_retry = false;
@@ -507,35 +510,35 @@
         Vec::new()
     }
 
-    /// The rest of the body goes where its beginning went, or nowhere.
-    fn body_begun(&mut self, id: CallId) -> Vec<Action> {
+    /// Prevents further attempts: the body cannot be sent a second time.
+    fn body_started(&mut self, id: CallId) -> Vec<Action> {
         if let Some(call) = self.calls.get_mut(&id) {
             call.may_retry = false;
         }
         Vec::new()
     }
 
-    fn caller_gone(&mut self, now: Micros, id: CallId) -> Vec<Action> {
+    fn caller_disconnected(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         if let Some(call) = self.calls.get_mut(&id)
-            && call.effect
+            && call.has_effects
         {
             call.may_retry = false;
             return self.withdraw_current(id);
         }
         let cancelled = self.cancel_current(id);
-        self.bound.forget(id);
+        self.home_calls.forget(id);
         if let Some(call) = self.calls.remove(&id) {
-            self.charge(now, &call);
+            self.record_first_failure(now, &call);
         }
         let Some((attempt, target)) = cancelled else {
             return Vec::new();
         };
-        self.with_target(target, |state| state.trial_told_nothing());
+        self.with_target(target, |state| state.end_trial());
         vec![Action::Cancel { attempt, target }]
     }
 
-    /// A call with effects whose caller is gone goes on where it was delivered, so
-    /// that its outcome is known, and is not delivered where it was not.
+    /// Withdraws a call with effects whose caller disconnected. If it was already delivered, it
+    /// continues so that its outcome is known; otherwise it is not delivered.
     fn withdraw_current(&mut self, id: CallId) -> Vec<Action> {
         let attempt = self.calls.get(&id).and_then(|call| call.current);
         let sent = attempt.and_then(|attempt| Some((attempt, self.attempts.get(&attempt)?)));
@@ -548,17 +551,17 @@
 
     fn cancel_current(&mut self, id: CallId) -> Option<(AttemptId, TargetId)> {
         let attempt = self.calls.get(&id)?.current?;
-        let ended = self.end(attempt)?;
+        let ended = self.end_attempt(attempt)?;
         Some((attempt, ended.target))
     }
 
-    fn learn(&mut self, now: Micros, target: TargetId, figures: Option<Figures>) {
-        if let Some(figures) = figures {
-            self.chooser.learn(now, target, figures);
+    fn record_load(&mut self, now: Micros, target: TargetId, load: Option<Figures>) {
+        if let Some(load) = load {
+            self.selector.record_load(now, target, load);
         }
     }
 
-    /// What is seen of a target decides on no call by itself.
+    /// Updates the state of a target. This triggers no action for pending calls.
     fn target_event(
         &mut self,
         target: TargetId,
@@ -569,7 +572,7 @@
     }
 
     fn with_target(&mut self, target: TargetId, change: impl FnOnce(&mut TargetState)) {
-        if let Some(state) = self.chooser.target_mut(target) {
+        if let Some(state) = self.selector.target_mut(target) {
             change(state);
         }
     }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -1,7 +1,7 @@
-//! What the ends of attempts say of calls and targets.
+//! Handling of the outcomes of attempts.
 
 use crate::event::{
-    Action, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
+    Action, AnswerStatus, NotRunReason, Refusal, RefusalReason, Settlement, UnknownReason, Verdict,
 };
 use crate::figures::Figures;
 use crate::ids::{AttemptId, CallId, Micros, TargetId};
@@ -13,72 +13,74 @@
         &mut self,
         now: Micros,
         attempt: AttemptId,
-        source: Source,
-        figures: Option<Figures>,
-        there_us: u32,
+        status: AnswerStatus,
+        load: Option<Figures>,
+        remote_us: u32,
     ) -> Vec<Action> {
-        let Some(ended) = self.end(attempt) else {
+        let Some(ended) = self.end_attempt(attempt) else {
             return Vec::new();
         };
         self.count_delivered(&ended);
-        self.learn(now, ended.target, figures);
-        if source == Source::Failed {
-            return match self.run_and_failed(now, attempt, &ended) {
-                true => self.attempt_elsewhere(now, ended.call),
+        self.record_load(now, ended.target, load);
+        if status == AnswerStatus::Failed {
+            return match self.record_failed_answer(now, attempt, &ended) {
+                true => self.retry(now, ended.call),
                 false => self.finish(now, ended.call, Verdict::Answer { attempt }),
             };
         }
         if let Some(request) = self.request_of(ended.call) {
-            self.own_failures.served(request);
+            self.request_failures.record_success(request);
         }
-        let path_us = (now - ended.sent_at.min(now)).saturating_sub(Micros::from(there_us));
-        self.chooser.served(now, ended.target, path_us as f64);
+        let path_us = (now - ended.sent_at.min(now)).saturating_sub(Micros::from(remote_us));
+        self.selector
+            .record_success(now, ended.target, path_us as f64);
         self.finish(now, ended.call, Verdict::Answer { attempt })
     }
 
-    /// A target failed a call. Where another failed it before, the request brings its failure
-    /// about: charged to the targets, repetitions of one bad request would eject healthy ones,
-    /// and all other calls would be refused. Returns whether the call may go elsewhere.
-    pub(super) fn run_and_failed(
+    /// Records that a target failed a call. If another target failed it before, the request is
+    /// at fault: if such failures counted against the targets, repetitions of one bad request
+    /// would eject healthy targets, and all other calls would be refused. Returns whether the
+    /// call may be retried.
+    pub(super) fn record_failed_answer(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         ended: &Attempt,
     ) -> bool {
-        let goes_on = self.failed_lookup_goes_elsewhere(now, ended.call);
+        let may_retry = self.may_retry_failed_lookup(now, ended.call);
         let call = self.calls.get_mut(&ended.call);
-        let Some(call) = call.filter(|call| goes_on || call.failed.is_some()) else {
+        let Some(call) = call.filter(|call| may_retry || call.failed.is_some()) else {
             let request = self.request_of(ended.call);
-            self.charge_target(now, request, ended.target);
+            self.record_failure(now, request, ended.target);
             return false;
         };
         if call.failed.replace(attempt).is_none() {
-            call.doubted = Some(ended.target);
-            return goes_on;
+            call.first_failed_target = Some(ended.target);
+            return may_retry;
         }
-        let (first, request) = (call.doubted.take(), call.request);
+        let (first, request) = (call.first_failed_target.take(), call.request);
         for target in first.into_iter().chain([ended.target]) {
-            self.remember_failure(now, request, target);
-            self.excuse(target);
+            self.record_request_failure(now, request, target);
+            self.count_own_failure(target);
         }
-        goes_on
+        may_retry
     }
 
-    pub(super) fn failed_lookup_goes_elsewhere(&self, now: Micros, id: CallId) -> bool {
+    pub(super) fn may_retry_failed_lookup(&self, now: Micros, id: CallId) -> bool {
         self.calls
             .get(&id)
-            .is_some_and(|call| !call.effect && call.may_retry && now < call.deadline)
+            .is_some_and(|call| !call.has_effects && call.may_retry && now < call.deadline)
     }
 
-    /// An attempt reached its target.
+    /// Counts an attempt that reached its target.
     pub(super) fn count_delivered(&mut self, ended: &Attempt) {
         if let Some(rollout) = &mut self.rollout {
             rollout.exposure.delivered(ended.kind);
         }
     }
 
-    /// An attempt never reached its target.
-    pub(super) fn take_back(&mut self, ended: &Attempt) {
+    /// Uncounts an offer to the new version that never reached its target.
+    pub(super) fn uncount_offer(&mut self, ended: &Attempt) {
         if let Some(rollout) = &mut self.rollout
             && rollout.targets.new.contains(&ended.target)
         {
@@ -86,13 +88,13 @@
         }
     }
 
-    pub(super) fn learn_work(&mut self, attempt: AttemptId, work_us: Option<u32>) {
+    pub(super) fn record_work(&mut self, attempt: AttemptId, work_us: Option<u32>) {
         let call = self.attempts.get(&attempt).map(|sent| sent.call);
         let kind = call
             .and_then(|call| self.calls.get(&call))
             .map(|call| call.kind);
         if let (Some(kind), Some(work_us)) = (kind, work_us) {
-            self.chooser.learn_work(kind, f64::from(work_us));
+            self.selector.record_work(kind, f64::from(work_us));
         }
     }
 
@@ -101,17 +103,17 @@
         now: Micros,
         attempt: AttemptId,
         refusal: Refusal,
-        figures: Option<Figures>,
+        load: Option<Figures>,
     ) -> Vec<Action> {
-        let Some(ended) = self.end(attempt) else {
+        let Some(ended) = self.end_attempt(attempt) else {
             return Vec::new();
         };
         match refusal.reason {
             RefusalReason::Shed => self.count_delivered(&ended),
-            _ => self.take_back(&ended),
+            _ => self.uncount_offer(&ended),
         }
-        self.learn(now, ended.target, figures);
-        self.learn_refusal(now, ended.target, refusal);
+        self.record_load(now, ended.target, load);
+        self.record_refusal(now, ended.target, refusal);
         if let Some(call) = self.calls.get_mut(&ended.call) {
             call.last_refusal = NotRunReason::Refused(refusal.reason);
             let soonest = call.soonest_retry_us.unwrap_or(Micros::MAX);
@@ -122,28 +124,28 @@
                 self.quarantined(ended.call, refusal.retry_after_us);
                 self.give_up(now, ended.call)
             }
-            RefusalReason::Shed => self.attempt_elsewhere(now, ended.call),
-            RefusalReason::TargetDown => self.pass_on(now, ended.call),
+            RefusalReason::Shed => self.retry(now, ended.call),
+            RefusalReason::TargetDown => self.send_past_unreachable(now, ended.call),
             _ => self.reroute(now, ended.call),
         }
     }
 
-    pub(super) fn learn_refusal(&mut self, now: Micros, target: TargetId, refusal: Refusal) {
+    pub(super) fn record_refusal(&mut self, now: Micros, target: TargetId, refusal: Refusal) {
         match refusal.reason {
             RefusalReason::TargetDown if self.is_down(target) => {
-                self.chooser.set_down(now, target, true);
+                self.selector.set_down(now, target, true);
             }
             RefusalReason::TargetDown | RefusalReason::WrongService => {
-                self.chooser.failed(now, target);
+                self.selector.record_failure(now, target);
             }
             RefusalReason::Leaving => {
-                self.with_target(target, |state| state.leave());
+                self.with_target(target, |state| state.drain());
             }
             RefusalReason::Full | RefusalReason::Shed | RefusalReason::Cold => {
                 let until = now + refusal.retry_after_us;
                 self.with_target(target, |state| {
-                    state.refused(until);
-                    state.trial_told_nothing();
+                    state.record_refusal(until);
+                    state.end_trial();
                 });
             }
             RefusalReason::Busy
@@ -152,36 +154,37 @@
             | RefusalReason::OutsideHome
             | RefusalReason::Version
             | RefusalReason::Quarantined => {
-                self.with_target(target, |state| state.trial_told_nothing());
+                self.with_target(target, |state| state.end_trial());
             }
         }
     }
 
-    /// The target's daemon lives but the target cut the call short.
+    /// Handles an answer that the target's daemon lost: the daemon is up, but the target ended
+    /// the call early.
     pub(super) fn target_lost(&mut self, now: Micros, attempt: AttemptId) -> Vec<Action> {
-        let Some(ended) = self.end(attempt) else {
+        let Some(ended) = self.end_attempt(attempt) else {
             return Vec::new();
         };
         self.count_delivered(&ended);
         let request = self.request_of(ended.call);
-        self.charge_target(now, request, ended.target);
+        self.record_failure(now, request, ended.target);
         self.may_have_run(now, ended.call, UnknownReason::TargetLost)
     }
 
     pub(super) fn not_sent(&mut self, now: Micros, attempt: AttemptId) -> Vec<Action> {
-        let Some(ended) = self.end(attempt) else {
+        let Some(ended) = self.end_attempt(attempt) else {
             return Vec::new();
         };
-        self.take_back(&ended);
-        self.chooser.failed(now, ended.target);
+        self.uncount_offer(&ended);
+        self.selector.record_failure(now, ended.target);
         if let Some(call) = self.calls.get_mut(&ended.call) {
             call.last_refusal = NotRunReason::NoLink;
         }
-        self.pass_on(now, ended.call)
+        self.send_past_unreachable(now, ended.call)
     }
 
     fn is_down(&self, target: TargetId) -> bool {
-        let state = self.chooser.target(target);
+        let state = self.selector.target(target);
         state.is_some_and(TargetState::is_down)
     }
 
@@ -190,16 +193,16 @@
             return Vec::new();
         };
         let (id, target) = (sent.call, sent.target);
-        let effect = self.calls.get(&id).is_some_and(|call| call.effect);
-        if effect {
+        let has_effects = self.calls.get(&id).is_some_and(|call| call.has_effects);
+        if has_effects {
             return vec![Action::Settle {
                 call: id,
                 attempt,
                 target,
             }];
         }
-        self.end(attempt);
-        self.chooser.failed(now, target);
+        self.end_attempt(attempt);
+        self.selector.record_failure(now, target);
         self.may_have_run(now, id, UnknownReason::LinkLost)
     }
 
@@ -209,7 +212,7 @@
         attempt: AttemptId,
         settlement: Settlement,
     ) -> Vec<Action> {
-        let Some(ended) = self.end(attempt) else {
+        let Some(ended) = self.end_attempt(attempt) else {
             return Vec::new();
         };
         match settlement {
@@ -217,18 +220,18 @@
                 if let Some(call) = self.calls.get_mut(&ended.call) {
                     call.last_refusal = NotRunReason::NoLink;
                 }
-                self.attempt_elsewhere(now, ended.call)
+                self.retry(now, ended.call)
             }
             Settlement::Ran => self.finish(now, ended.call, Verdict::Answer { attempt }),
             Settlement::Unknown => {
-                self.chooser.failed(now, ended.target);
+                self.selector.record_failure(now, ended.target);
                 let reason = UnknownReason::LinkLost;
                 self.finish(now, ended.call, Verdict::Unknown { reason })
             }
         }
     }
 
-    /// A call that may have run: a lookup goes elsewhere, an effect must not.
+    /// Handles a call that may have run: a lookup is retried, a call with effects must not be.
     pub(super) fn may_have_run(
         &mut self,
         now: Micros,
@@ -238,21 +241,21 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
-        if call.effect {
+        if call.has_effects {
             return self.finish(now, id, Verdict::Unknown { reason });
         }
         call.may_have_run = Some(reason);
-        self.attempt_elsewhere(now, id)
+        self.retry(now, id)
     }
 
-    /// A daemon refuses what cannot finish in time, so a call that is still out
-    /// at its deadline speaks against its target.
-    pub(super) fn deadline_over(&mut self, now: Micros, id: CallId) -> Vec<Action> {
+    /// Ends a call at its deadline. A daemon refuses calls that cannot finish in time, so a call
+    /// that is still in flight at its deadline counts as a failure of its target.
+    pub(super) fn deadline_expired(&mut self, now: Micros, id: CallId) -> Vec<Action> {
         let Some((attempt, target)) = self.cancel_current(id) else {
             return self.give_up(now, id);
         };
         let request = self.request_of(id);
-        self.charge_target(now, request, target);
+        self.record_failure(now, request, target);
         let reason = UnknownReason::Deadline;
         let mut actions = vec![Action::Cancel { attempt, target }];
         actions.extend(self.finish(now, id, Verdict::Unknown { reason }));
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -1,7 +1,7 @@
-//! What one router knows of one target: its load, its speed, its health.
+//! One router's view of one target: its load, speed and health.
 //!
-//! A figure is exact when it is taken and wrong a moment later, so trust in it
-//! halves with its age. Errors and refusals never make a target look better.
+//! A load report is exact when it is taken and outdated a moment later, so its weight halves
+//! with age. Errors and refusals never make a target look better.
 
 use crate::chance::Prospect;
 use crate::distance::Distance;
@@ -9,41 +9,44 @@
 use crate::ids::Micros;
 use crate::slowness::SlownessReading;
 
-/// Age at which half of a load figure is still believed, in service times: calls
-/// come and go within one.
+/// Half-life of a load report, in service times: calls come and go within one.
 const LOAD_HALF_LIFE: f64 = 0.4;
-/// Age at which half of a service time is still believed.
+/// Half-life of a measured service time.
 const SERVICE_HALF_LIFE_US: f64 = 1_000_000.0;
-/// Differences of service times up to this part of the usual one are noise of the
-/// running means; to follow them would crowd whichever target had luck last.
+/// Differences of service times up to this fraction of the average are noise of the running
+/// means. Following them would crowd whichever target was fast last.
 const SERVICE_NOISE: f64 = 0.4;
-/// Age at which half of a path time is still believed.
+/// Half-life of a measured path time.
 const PATH_HALF_LIFE_US: f64 = 500_000.0;
-/// Service time assumed before any was seen.
-const FIRST_SERVICE_US: f64 = 1_000.0;
-/// Weight of one sample in what is usual for a service.
-const USUAL_WEIGHT: f64 = 0.02;
-/// Weight of one sample in a running mean.
-const MEAN_WEIGHT: f64 = 0.2;
+/// Service time assumed before any was measured.
+const INITIAL_SERVICE_US: f64 = 1_000.0;
+/// Weight of one sample in the averages of a service.
+const AVERAGE_WEIGHT: f64 = 0.02;
+/// Weight of one sample in the running mean of a target's path time.
+const PATH_WEIGHT: f64 = 0.2;
 /// Longest ejection, as a multiple of the first.
-const EJECT_GROWTH_LIMIT: u32 = 8;
-/// A cold target looks this many times slower at the start of its ramp.
-const COLD_FACTOR: f64 = 4.0;
-
-/// Whether a target may be chosen.
+const MAX_EJECT_FACTOR: u32 = 8;
+/// Factor by which a target counts as slower at the start of its ramp.
+const RAMP_START_FACTOR: f64 = 4.0;
+/// Fraction of a service time by which a target with all slots taken counts as slower than an
+/// idle one. It spreads calls over equal targets, so that routers with the same outdated load
+/// reports do not all select the same target.
+const LOAD_PENALTY: f64 = 0.5;
+
+/// Whether a target may be selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// Chosen by its score.
+    /// Selected by its score.
     Healthy,
-    /// Not chosen before this time; then by one trial call at a time.
+    /// Not selected before `until`; after that, by one trial call at a time.
     Ejected {
         /// When a trial call may be sent.
         until: Micros,
-        /// How often in a row it was ejected.
+        /// Number of consecutive ejections.
         times: u32,
     },
     /// Takes no new calls.
-    Leaving,
+    Draining,
 }
 
 /// One router's view of one target.
@@ -51,30 +54,30 @@
 pub struct TargetState {
     health: Health,
     linked: bool,
+    /// Whether a trial call is in flight.
     trial: bool,
     outstanding: u32,
-    picked: u64,
-    figures: Option<Known>,
+    last_pick: u64,
+    load: Option<LoadSample>,
     service_us: Option<f64>,
     service_at: Micros,
     usual_path_us: f64,
     path_us: f64,
     path_at: Micros,
-    failures_in_row: u32,
-    warm_from: Micros,
+    consecutive_failures: u32,
+    ramp_start: Micros,
     refused_until: Micros,
     slowness: Option<SlownessReading>,
     distance: Distance,
-    doubted: bool,
-    /// Present while nothing listens at its address, as its daemon says: when a call may find
-    /// out whether that still holds.
+    suspected: bool,
+    /// Present while its daemon reports that nothing listens at its address: when a trial call
+    /// may check whether that is still true.
     down_until: Option<Micros>,
 }
 
-/// What is usual among the targets of a service: what to expect of one that has
-/// not been heard of for long.
+/// Averages over the targets of a service: the estimate for a target without recent reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct ServiceAverages {
     /// Service time in microseconds.
     pub service_us: f64,
     /// Calls of other routers at one target.
@@ -83,62 +86,64 @@
     pub slots: f64,
 }
 
-impl Default for Usual {
+impl Default for ServiceAverages {
     fn default() -> Self {
-        Usual {
-            service_us: FIRST_SERVICE_US,
+        ServiceAverages {
+            service_us: INITIAL_SERVICE_US,
             others: 0.0,
             slots: 1.0,
         }
     }
 }
 
-impl Usual {
-    /// Takes a target's figures into account. `others` of its calls are not ours.
-    fn learn(&mut self, figures: Figures, others: f64) {
-        let near = |mean: &mut f64, sample: f64| *mean += USUAL_WEIGHT * (sample - *mean);
-        near(&mut self.others, others);
-        self.slots = f64::from(figures.slots.max(1));
-        if figures.service_us > 0 {
-            near(&mut self.service_us, f64::from(figures.service_us));
+impl ServiceAverages {
+    /// Records a target's load report, of which `others` calls are not this router's.
+    fn record_load(&mut self, load: Figures, others: f64) {
+        let update = |mean: &mut f64, sample: f64| *mean += AVERAGE_WEIGHT * (sample - *mean);
+        update(&mut self.others, others);
+        self.slots = f64::from(load.slots.max(1));
+        if load.service_us > 0 {
+            update(&mut self.service_us, f64::from(load.service_us));
         }
     }
 }
 
+/// The part of a load report that expires with the calls it counted.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct LoadSample {
+    /// Calls of other routers.
     others: f64,
     slots: u32,
     at: Micros,
 }
 
 impl TargetState {
-    /// A target never heard of, `path_us` away there and back.
+    /// Creates the state of a target without reports; `path_us` is the round-trip time to it.
     pub fn new(now: Micros, path_us: f64) -> Self {
         TargetState {
             health: Health::Healthy,
             linked: true,
             trial: false,
             outstanding: 0,
-            picked: 0,
-            figures: None,
+            last_pick: 0,
+            load: None,
             service_us: None,
             service_at: now,
             usual_path_us: path_us,
             path_us,
             path_at: now,
-            failures_in_row: 0,
-            warm_from: now,
+            consecutive_failures: 0,
+            ramp_start: now,
             refused_until: 0,
             slowness: None,
             distance: Distance::default(),
-            doubted: false,
+            suspected: false,
             down_until: None,
         }
     }
 
-    /// Whether it may be chosen now.
-    pub fn available(&self, now: Micros) -> bool {
+    /// Whether it may be selected now.
+    pub fn is_available(&self, now: Micros) -> bool {
         let is_down = self
             .down_until
             .is_some_and(|until| now < until || self.trial);
@@ -148,60 +153,61 @@
         match self.health {
             Health::Healthy => true,
             Health::Ejected { until, .. } => now >= until && !self.trial,
-            Health::Leaving => false,
+            Health::Draining => false,
         }
     }
 
-    /// Whether a link to its daemon stands.
+    /// Whether the link to its daemon is up.
     pub fn is_linked(&self) -> bool {
         self.linked
     }
 
-    /// The link to its daemon was made or lost. A target without one is not
-    /// chosen, so no call waits for a connection to be made.
+    /// Records that the link to its daemon was established or lost. A target without a link is
+    /// not selected, so no call waits for a connection to be established.
     pub fn set_linked(&mut self, linked: bool) {
         self.linked = linked;
-        self.doubted = false;
+        self.suspected = false;
     }
 
     /// Whether the link to its daemon may be silent.
-    pub fn is_doubted(&self) -> bool {
-        self.doubted
+    pub fn is_suspected(&self) -> bool {
+        self.suspected
     }
 
-    /// There is reason to think that the link to its daemon is silent, or it was heard from.
-    pub fn set_doubted(&mut self, doubted: bool) {
-        self.doubted = doubted;
+    /// Records that the link to its daemon may be silent, or has carried data since.
+    pub fn set_suspected(&mut self, suspected: bool) {
+        self.suspected = suspected;
     }
 
-    /// Whether nothing listens at its address, as its daemon says.
+    /// Whether its daemon reports that nothing listens at its address.
     pub fn is_down(&self) -> bool {
         self.down_until.is_some()
     }
 
-    /// Its daemon says that nothing listens at its address. It is not chosen until the daemon
-    /// says otherwise, but for one call at a time after `trial_us`: word may have been lost.
-    pub fn went_down(&mut self, now: Micros, trial_us: Micros) {
+    /// Records that its daemon reports that nothing listens at its address. It is not selected
+    /// until the daemon reports otherwise, except by one call at a time after `trial_us`,
+    /// because the report that it is up again may be lost.
+    pub fn mark_down(&mut self, now: Micros, trial_us: Micros) {
         self.down_until = Some(now + trial_us);
         self.trial = false;
     }
 
-    /// Something listens at its address again: a new process, which earlier failures say
-    /// nothing about.
-    pub fn came_up(&mut self, now: Micros) {
+    /// Records that something listens at its address again. That is a new process, so earlier
+    /// failures no longer count.
+    pub fn mark_up(&mut self, now: Micros) {
         if self.down_until.take().is_none() {
             return;
         }
         self.trial = false;
-        self.failures_in_row = 0;
-        self.warm_from = now;
+        self.consecutive_failures = 0;
+        self.ramp_start = now;
         if matches!(self.health, Health::Ejected { .. }) {
             self.health = Health::Healthy;
         }
     }
 
-    /// Its daemon is another incarnation: what was known of the old is void.
-    pub fn replaced(&mut self, now: Micros) {
+    /// Resets the state after its daemon was replaced by another incarnation.
+    pub fn reset(&mut self, now: Micros) {
         *self = TargetState {
             outstanding: self.outstanding,
             linked: self.linked,
@@ -210,151 +216,158 @@
         };
     }
 
-    /// Health as last judged.
+    /// The current health.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Calls this router sent that are not answered.
+    /// Number of this router's calls that were sent and have not ended.
     pub fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Number of the router's pick that chose it last; 0 before the first.
-    pub fn picked(&self) -> u64 {
-        self.picked
+    /// Number of the router's pick that last selected it; 0 before the first.
+    pub fn last_pick(&self) -> u64 {
+        self.last_pick
     }
 
-    /// A call was sent: the router's pick of this number.
-    pub fn sent(&mut self, pick: u64) {
-        self.picked = pick;
+    /// Records that the router's pick of this number sent a call.
+    pub fn record_sent(&mut self, pick: u64) {
+        self.last_pick = pick;
         self.outstanding += 1;
         self.trial = self.is_down() || matches!(self.health, Health::Ejected { .. });
     }
 
-    /// A sent call ended, however it ended.
-    pub fn ended(&mut self) {
+    /// Records that a sent call ended, whatever its outcome.
+    pub fn record_end(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// The target served a call; `path_us` is the time spent outside of it.
-    pub fn served(&mut self, now: Micros, path_us: Option<f64>) {
-        self.failures_in_row = 0;
+    /// Records a served call; `path_us` is the time spent outside of the target.
+    pub fn record_success(&mut self, now: Micros, path_us: Option<f64>) {
+        self.consecutive_failures = 0;
         if matches!(self.health, Health::Ejected { .. }) {
             self.health = Health::Healthy;
-            self.warm_from = now;
+            self.ramp_start = now;
         }
         self.trial = false;
         self.down_until = None;
         if let Some(sample) = path_us {
             let known = self.path_us(now);
-            self.path_us = known + MEAN_WEIGHT * (sample - known);
+            self.path_us = known + PATH_WEIGHT * (sample - known);
             self.path_at = now;
         }
     }
 
-    /// The target failed a call. Returns whether that ejected it.
-    pub fn failed(&mut self, now: Micros, eject_failures: u32, eject_us: Micros) -> bool {
-        self.failures_in_row += 1;
+    /// Records a failed call. Returns whether it ejected the target.
+    pub fn record_failure(&mut self, now: Micros, eject_failures: u32, eject_us: Micros) -> bool {
+        self.consecutive_failures += 1;
         let times = match self.health {
-            Health::Leaving => return false,
+            Health::Draining => return false,
             Health::Ejected { times, .. } => times,
-            Health::Healthy if self.failures_in_row < eject_failures => return false,
+            Health::Healthy if self.consecutive_failures < eject_failures => return false,
             Health::Healthy => 0,
         };
-        let growth = (1_u64 << times.min(31)).min(u64::from(EJECT_GROWTH_LIMIT));
+        let factor = (1_u64 << times.min(31)).min(u64::from(MAX_EJECT_FACTOR));
         self.health = Health::Ejected {
-            until: now + eject_us * growth,
+            until: now + eject_us * factor,
             times: times + 1,
         };
         self.trial = false;
         true
     }
 
-    /// A trial call ended without telling anything about health.
-    pub fn trial_told_nothing(&mut self) {
+    /// Ends a trial call whose outcome says nothing about the target's health.
+    pub fn end_trial(&mut self) {
         self.trial = false;
     }
 
-    /// The target refused a call for want of room until about `until`.
-    pub fn refused(&mut self, until: Micros) {
+    /// Records that the target has no capacity until about `until`.
+    pub fn record_refusal(&mut self, until: Micros) {
         self.refused_until = until;
     }
 
-    /// The target takes no new calls from now on.
-    pub fn leave(&mut self) {
-        self.health = Health::Leaving;
+    /// Records that the target takes no new calls.
+    pub fn drain(&mut self) {
+        self.health = Health::Draining;
     }
 
-    /// The target's daemon says that it takes calls again.
-    pub fn rejoin(&mut self, now: Micros) {
-        if self.health == Health::Leaving {
+    /// Records that the target takes calls again after draining.
+    pub fn resume(&mut self, now: Micros) {
+        if self.health == Health::Draining {
             self.health = Health::Healthy;
-            self.warm_from = now;
+            self.ramp_start = now;
         }
     }
 
-    /// Takes figures from the target's daemon.
-    pub fn learn(&mut self, now: Micros, figures: Figures, usual: &mut Usual) {
-        let ours = self.outstanding.min(figures.load());
-        let others = f64::from(figures.load() - ours);
-        usual.learn(figures, others);
-        self.figures = Some(Known {
+    /// Records a load report of the target's daemon.
+    pub fn record_load(&mut self, now: Micros, load: Figures, averages: &mut ServiceAverages) {
+        let own = self.outstanding.min(load.load());
+        let others = f64::from(load.load() - own);
+        averages.record_load(load, others);
+        self.load = Some(LoadSample {
             others,
-            slots: figures.slots.max(1),
+            slots: load.slots.max(1),
             at: now,
         });
-        self.slowness = figures.slowness(now).or(self.slowness);
-        if figures.service_us > 0 {
-            self.service_us = Some(f64::from(figures.service_us));
+        self.slowness = load.slowness(now).or(self.slowness);
+        if load.service_us > 0 {
+            self.service_us = Some(f64::from(load.service_us));
             self.service_at = now;
         }
     }
 
-    /// The service time to expect, which returns to the usual one as it grows old.
-    pub fn service_us(&self, now: Micros, usual: &Usual) -> f64 {
-        let usual_us = usual.service_us;
+    /// The expected service time, which returns to the service's average with age.
+    pub fn service_us(&self, now: Micros, averages: &ServiceAverages) -> f64 {
+        let average_us = averages.service_us;
         let Some(known) = self.service_us else {
-            return usual_us;
+            return average_us;
         };
-        let trust = trust(now - self.service_at.min(now), SERVICE_HALF_LIFE_US);
-        let apart = (known - usual_us) * trust;
-        let noise = usual_us * SERVICE_NOISE;
-        usual_us + apart - apart.clamp(-noise, noise)
+        let weight = decay(now - self.service_at.min(now), SERVICE_HALF_LIFE_US);
+        let difference = (known - average_us) * weight;
+        let noise = average_us * SERVICE_NOISE;
+        average_us + difference - difference.clamp(-noise, noise)
     }
 
-    /// The path time to expect, which returns to the usual one as it grows old: a
-    /// single slow path must not keep a target idle for ever.
+    /// The expected path time, which returns to the usual one with age: a single slow
+    /// path must not keep a target idle for ever.
     pub fn path_us(&self, now: Micros) -> f64 {
-        let trust = trust(now - self.path_at.min(now), PATH_HALF_LIFE_US);
-        self.usual_path_us + (self.path_us - self.usual_path_us) * trust
-    }
-
-    /// Calls to expect at the target: ours exactly, others' as last told, and the
-    /// usual number as that grows old. A target that was not heard of for a while
-    /// is not an idle one.
-    pub fn load(&self, now: Micros, usual: &Usual) -> f64 {
-        let others = self.figures.map_or(usual.others, |known| {
-            let trust = trust(now - known.at.min(now), LOAD_HALF_LIFE * usual.service_us);
-            usual.others + (known.others - usual.others) * trust
+        let weight = decay(now - self.path_at.min(now), PATH_HALF_LIFE_US);
+        self.usual_path_us + (self.path_us - self.usual_path_us) * weight
+    }
+
+    /// The expected number of calls at the target: this router's exactly, and those of others
+    /// as last reported, which returns to the service's average with age. A target without
+    /// recent reports is not assumed to be idle.
+    pub fn load(&self, now: Micros, averages: &ServiceAverages) -> f64 {
+        let others = self.load.map_or(averages.others, |known| {
+            let half_life_us = LOAD_HALF_LIFE * averages.service_us;
+            let weight = decay(now - known.at.min(now), half_life_us);
+            averages.others + (known.others - averages.others) * weight
         });
         f64::from(self.outstanding) + others
     }
 
-    /// Time in microseconds after which a call sent now should be back.
-    pub fn expected_finish_us(&self, now: Micros, usual: &Usual, ramp_us: Micros) -> f64 {
-        let service = self.service_us(now, usual);
-        let known_slots = self.figures.map(|known| f64::from(known.slots));
-        let slots = known_slots.unwrap_or(usual.slots);
-        let load = self.load(now, usual);
+    /// Expected time in microseconds until a call sent now is answered.
+    pub fn expected_finish_us(
+        &self,
+        now: Micros,
+        averages: &ServiceAverages,
+        ramp_us: Micros,
+    ) -> f64 {
+        let service = self.service_us(now, averages);
+        let known_slots = self.load.map(|known| f64::from(known.slots));
+        let slots = known_slots.unwrap_or(averages.slots);
+        let load = self.load(now, averages);
         let queued = (load + 1.0 - slots).max(0.0);
         let wait = queued * service / slots;
-        let spread = service * (load / slots).min(1.0) * SPREAD;
+        let penalty = service * (load / slots).min(1.0) * LOAD_PENALTY;
         let refused = self.refused_until.saturating_sub(now) as f64;
-        (self.path_us(now) + service + spread + wait.max(refused)) * self.cold(now, ramp_us)
+        let ramp_factor = self.ramp_factor(now, ramp_us);
+        (self.path_us(now) + service + penalty + wait.max(refused)) * ramp_factor
     }
 
-    /// Says how far away it is.
+    /// Sets how far away it is.
     pub fn set_distance(&mut self, distance: Distance) {
         self.distance = distance;
     }
@@ -369,34 +382,30 @@
         self.slowness
     }
 
-    /// What a call sent now would find there.
-    pub fn prospect(&self, now: Micros, usual: &Usual) -> Prospect {
-        let known_slots = self.figures.map(|known| f64::from(known.slots));
-        let slots = known_slots.unwrap_or(usual.slots);
-        let queued = (self.load(now, usual) + 1.0 - slots).max(0.0);
+    /// The delays that a call sent now would meet.
+    pub fn prospect(&self, now: Micros, averages: &ServiceAverages) -> Prospect {
+        let known_slots = self.load.map(|known| f64::from(known.slots));
+        let slots = known_slots.unwrap_or(averages.slots);
+        let queued = (self.load(now, averages) + 1.0 - slots).max(0.0);
         Prospect {
             path_us: self.path_us(now),
-            wait_us: queued * usual.service_us / slots,
+            wait_us: queued * averages.service_us / slots,
             closed_us: self.refused_until.saturating_sub(now) as f64,
         }
     }
 
-    /// How much slower it is for being cold.
-    pub fn cold(&self, now: Micros, ramp_us: Micros) -> f64 {
-        let age = now.saturating_sub(self.warm_from);
+    /// Factor by which it counts as slower while it ramps up.
+    pub fn ramp_factor(&self, now: Micros, ramp_us: Micros) -> f64 {
+        let age = now.saturating_sub(self.ramp_start);
         if age >= ramp_us {
             return 1.0;
         }
         let left = 1.0 - age as f64 / ramp_us as f64;
-        1.0 + (COLD_FACTOR - 1.0) * left
+        1.0 + (RAMP_START_FACTOR - 1.0) * left
     }
 }
 
-/// Part of a service time by which a target with all slots taken looks slower
-/// than an idle one. It spreads calls over equals, so that routers that see the
-/// same old figures do not all pick the same target.
-const SPREAD: f64 = 0.5;
-
-fn trust(age_us: Micros, half_life_us: f64) -> f64 {
+/// Weight of a measurement of this age.
+fn decay(age_us: Micros, half_life_us: f64) -> f64 {
     (-(age_us as f64) / half_life_us).exp2()
 }
--- a/crates/policy/tests/goals/choice.rs
+++ b/crates/policy/tests/goals/choice.rs
@@ -1,15 +1,15 @@
 //! Which target a router chooses.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, ChooseParams, Distance, Elsewhere, Event, Figures, Policy,
-    RefusalReason, Router, RouterParams, Source, TargetId,
+    Action, AnswerStatus, AttemptId, CallId, Distance, Elsewhere, Event, Figures, Policy,
+    RefusalReason, Router, RouterParams, SelectionParams, TargetId,
 };
 
 use super::{FAR, KIND, MS, NEAR, PRICES};
 
 fn params() -> RouterParams {
     RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::GoalChance,
             ramp_us: 0,
             eject_failures: 5,
@@ -17,7 +17,7 @@
             prices: PRICES,
         },
         attempt_limit: 2,
-        further: lynxcleat_policy::FurtherParams {
+        retry_budget: lynxcleat_policy::FurtherParams {
             percent: 20,
             bound: None,
         },
@@ -41,7 +41,7 @@
     let event = Event::Arrived {
         call: CallId(call),
         deadline: now + 1_000 * MS,
-        effect: false,
+        has_effects: false,
         may_retry: true,
         attempt_limit: None,
         goal: Some(now + goal),
@@ -64,17 +64,17 @@
 fn answered(attempt: AttemptId, work_ms: u32) -> Event {
     Event::Answered {
         attempt,
-        source: Source::Served,
-        figures: None,
-        there_us: work_ms * 1_000,
+        status: AnswerStatus::Served,
+        load: None,
+        remote_us: work_ms * 1_000,
         work_us: Some(work_ms * 1_000),
     }
 }
 
 fn told(target: TargetId, slowness_percent: u32, in_flight: u32) -> Event {
-    Event::FiguresSeen {
+    Event::LoadReported {
         target,
-        figures: Figures {
+        load: Figures {
             in_flight,
             held: 0,
             slots: 8,
@@ -149,7 +149,7 @@
                 reason: RefusalReason::TooLate,
                 retry_after_us: 1,
             },
-            figures: None,
+            load: None,
         };
         let (second, other) = sent(&router.on(200 * MS, refused));
         assert_ne!(at, other);
@@ -179,7 +179,7 @@
                 reason: RefusalReason::Busy,
                 retry_after_us: 1,
             },
-            figures: None,
+            load: None,
         };
         actions = router.on(0, refused);
     }
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, Candidate, ChooseParams, Elsewhere, Event, FurtherParams,
-    Here, Homes, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement,
-    Source, TargetId, Verdict, WayPrices, subset, subset_with_homes,
+    Action, AnswerStatus, AttemptId, CallId, CallKind, Candidate, Elsewhere, Event, FurtherParams,
+    Here, Homes, NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams,
+    SelectionParams, Settlement, TargetId, Verdict, WayPrices, subset, subset_with_homes,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -15,7 +15,7 @@
 
 fn params(policy: Policy) -> RouterParams {
     RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy,
             ramp_us: 0,
             eject_failures: 2,
@@ -26,7 +26,7 @@
             },
         },
         attempt_limit: 4,
-        further: FurtherParams {
+        retry_budget: FurtherParams {
             percent: 100,
             bound: None,
         },
@@ -58,7 +58,7 @@
     Event::Arrived {
         call,
         deadline: DEADLINE,
-        effect,
+        has_effects: effect,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -74,7 +74,7 @@
     Event::Refused {
         attempt,
         refusal,
-        figures: None,
+        load: None,
     }
 }
 
@@ -83,8 +83,8 @@
     let mut router = router(Policy::GoalChance, &[0, 0, 1]);
     let call = CallId(1);
     let homes = only(&[2]);
-    assert!(!router.any_open(0, &homes) && router.any_open(0, &only(&[1])));
-    assert!(router.on(0, Event::Bound { call, homes }).is_empty());
+    assert!(!router.any_available(0, &homes) && router.any_available(0, &only(&[1])));
+    assert!(router.on(0, Event::HomesSet { call, homes }).is_empty());
     let actions = router.on(0, arrived(call, effect));
     let [Action::Finish { verdict, .. }] = actions.as_slice() else {
         panic!("{actions:?}");
@@ -103,7 +103,7 @@
     let mut router = router(Policy::GoalChance, &[0, 1, 1]);
     let call = CallId(1);
     let homes = only(&[0]);
-    router.on(0, Event::Bound { call, homes });
+    router.on(0, Event::HomesSet { call, homes });
     let actions = router.on(0, arrived(call, false));
     let [
         Action::Send {
@@ -133,7 +133,7 @@
     let call = CallId(1);
     router.on(
         0,
-        Event::Bound {
+        Event::HomesSet {
             call,
             homes: only(&[0]),
         },
@@ -144,7 +144,7 @@
     };
     router.on(
         1,
-        Event::Bound {
+        Event::HomesSet {
             call,
             homes: only(&[1]),
         },
@@ -180,7 +180,7 @@
     LinkLost(u8),
     TargetLost(u8),
     Settle(u8, Settlement),
-    Answer(u8, Source),
+    Answer(u8, AnswerStatus),
     Leave(u8),
     Back(u8),
     Linked(u8, bool),
@@ -212,7 +212,7 @@
         2 => any8().prop_map(LinkLost),
         1 => any8().prop_map(TargetLost),
         2 => (any8(), prop::sample::select(&SETTLEMENTS[..])).prop_map(|(at, how)| Settle(at, how)),
-        2 => (any8(), prop::sample::select(&[Source::Served, Source::Failed][..]))
+        2 => (any8(), prop::sample::select(&[AnswerStatus::Served, AnswerStatus::Failed][..]))
             .prop_map(|(at, source)| Answer(at, source)),
         1 => any8().prop_map(Leave),
         1 => any8().prop_map(Back),
@@ -257,7 +257,7 @@
                 let homes = drawn_homes(homes);
                 self.homes.insert(call, homes.clone());
                 let call = CallId(call);
-                vec![Event::Bound { call, homes }, arrived(call, effect)]
+                vec![Event::HomesSet { call, homes }, arrived(call, effect)]
             }
             Happening::Rebind { call, homes } => {
                 let Some(known) = self.homes.get_mut(&call) else {
@@ -265,7 +265,7 @@
                 };
                 *known = drawn_homes(homes);
                 let homes = known.clone();
-                vec![Event::Bound {
+                vec![Event::HomesSet {
                     call: CallId(call),
                     homes,
                 }]
@@ -282,13 +282,13 @@
             })),
             Happening::Answer(at, source) => one(attempt(at).map(|attempt| Event::Answered {
                 attempt,
-                source,
-                figures: None,
-                there_us: 10,
+                status: source,
+                load: None,
+                remote_us: 10,
                 work_us: None,
             })),
-            Happening::Leave(at) => vec![Event::TargetLeaving { target: target(at) }],
-            Happening::Back(at) => vec![Event::TargetBack { target: target(at) }],
+            Happening::Leave(at) => vec![Event::TargetDraining { target: target(at) }],
+            Happening::Back(at) => vec![Event::TargetResumed { target: target(at) }],
             Happening::Linked(at, linked) => {
                 vec![Event::TargetLinked {
                     target: target(at),
@@ -296,13 +296,13 @@
                 }]
             }
             Happening::Doubt(at, doubted) => {
-                vec![Event::TargetDoubted {
+                vec![Event::TargetSuspected {
                     target: target(at),
-                    doubted,
+                    suspected: doubted,
                 }]
             }
             Happening::Gone { call } if self.homes.contains_key(&call) => {
-                vec![Event::CallerGone { call: CallId(call) }]
+                vec![Event::CallerDisconnected { call: CallId(call) }]
             }
             Happening::Gone { .. } => Vec::new(),
         }
@@ -366,7 +366,7 @@
             world.now += 500;
             for event in world.event(happening) {
                 let gone = match &event {
-                    Event::CallerGone { call } => Some(call.0),
+                    Event::CallerDisconnected { call } => Some(call.0),
                     _ => None,
                 };
                 for action in world.router.on(world.now, event) {
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Action, CallId, CallKind, Candidate, ChooseParams, Distance, Elsewhere, Event, FAR_NEIGHBOURS,
-    Figures, FurtherParams, Here, NEAR_NEIGHBOURS, Policy, REGION_NEIGHBOURS, Router, RouterParams,
-    TargetId, WayPrices, neighbours, subset,
+    Action, CallId, CallKind, Candidate, Distance, Elsewhere, Event, FAR_NEIGHBOURS, Figures,
+    FurtherParams, Here, NEAR_NEIGHBOURS, Policy, REGION_NEIGHBOURS, Router, RouterParams,
+    SelectionParams, TargetId, WayPrices, neighbours, subset,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -176,7 +176,7 @@
 
 fn router(seed: u64) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::GoalChance,
             ramp_us: 0,
             eject_failures: 5,
@@ -187,7 +187,7 @@
             },
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        retry_budget: FurtherParams {
             percent: 100,
             bound: None,
         },
@@ -229,7 +229,13 @@
         service_us: 100 * MS as u32,
         ..Figures::default()
     };
-    router.on(now, Event::FiguresSeen { target, figures });
+    router.on(
+        now,
+        Event::LoadReported {
+            target,
+            load: figures,
+        },
+    );
 }
 
 /// Where a call with a goal of 300 ms goes, and where it can go then.
@@ -239,7 +245,7 @@
         Event::Arrived {
             call: CallId(call),
             deadline: now + 2_000 * MS,
-            effect: false,
+            has_effects: false,
             may_retry: true,
             attempt_limit: None,
             goal: Some(now + 300 * MS),
@@ -336,7 +342,7 @@
 fn a_call_that_may_not_leave_the_region_does_not() {
     for seed in 0..20 {
         let mut router = router(seed);
-        router.set_reach(Distance::OwnRegion);
+        router.set_max_distance(Distance::OwnRegion);
         for (target, distance) in TARGETS {
             if distance < Distance::OwnRegion {
                 let linked = false;
@@ -346,7 +352,7 @@
         let (target, elsewhere) = send(&mut router, 0, 1);
         assert_eq!(distance_of(target), Distance::OwnRegion);
         assert_eq!(elsewhere, Elsewhere::Nowhere);
-        router.set_reach(Distance::OtherRegion);
+        router.set_max_distance(Distance::OtherRegion);
         let (_, elsewhere) = send(&mut router, 0, 2);
         assert_ne!(elsewhere, Elsewhere::Nowhere);
     }
--- a/crates/policy/tests/rollout/offering.rs
+++ b/crates/policy/tests/rollout/offering.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, Event, FurtherParams, Policy, Refusal,
-    RefusalReason, RolloutTargets, Router, RouterParams, Source, TargetId,
+    Action, AnswerStatus, AttemptId, CallId, CallKind, Event, FurtherParams, Policy, Refusal,
+    RefusalReason, RolloutTargets, Router, RouterParams, SelectionParams, TargetId,
 };
 
 use super::SECOND;
 
 fn router() -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::ExpectedFinish,
             ramp_us: 0,
             eject_failures: 100,
@@ -19,7 +19,7 @@
             prices: lynxcleat_policy::WayPrices::NONE,
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        retry_budget: FurtherParams {
             percent: 100,
             bound: None,
         },
@@ -47,7 +47,7 @@
     let arrived = Event::Arrived {
         call: CallId(call),
         deadline: SECOND,
-        effect: false,
+        has_effects: false,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -70,9 +70,9 @@
 fn answer(router: &mut Router, attempt: AttemptId) {
     let answered = Event::Answered {
         attempt,
-        source: Source::Served,
-        figures: None,
-        there_us: 0,
+        status: AnswerStatus::Served,
+        load: None,
+        remote_us: 0,
         work_us: None,
     };
     router.on(0, answered);
@@ -90,7 +90,7 @@
         assert!(canary as f64 <= 0.1 * call as f64, "call {call}");
         answer(&mut router, attempt);
     }
-    assert!(router.is_new(TargetId(5)) && !router.is_new(TargetId(3)));
+    assert!(router.is_new_version(TargetId(5)) && !router.is_new_version(TargetId(3)));
     assert_eq!(router.canary_calls(), canary);
     assert!(canary >= 38, "{canary}");
     // The same order told again does not begin anew, a later one does.
@@ -116,7 +116,7 @@
                 reason: RefusalReason::Cold,
                 retry_after_us: 10,
             },
-            figures: None,
+            load: None,
         };
         let (again, target) = sent(&router.on(0, refused));
         assert!(target.0 < 4, "{target:?}");
@@ -133,7 +133,7 @@
         let arrived = Event::Arrived {
             call: CallId(call),
             deadline: SECOND,
-            effect: false,
+            has_effects: false,
             may_retry: false,
             attempt_limit: None,
             goal: None,
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,9 +1,9 @@
 //! The router's decisions, as a table of what happens and what is done.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, Candidate, ChooseParams, Event, Figures, Fingerprint, Health, Here,
-    NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, Settlement, Source,
-    TargetId, UnknownReason, Verdict, WayPrices, subset,
+    Action, AnswerStatus, AttemptId, CallId, Candidate, Event, Figures, Fingerprint, Health, Here,
+    NotRunReason, Policy, Refusal, RefusalReason, Router, RouterParams, SelectionParams,
+    Settlement, TargetId, UnknownReason, Verdict, WayPrices, subset,
 };
 use rstest::rstest;
 
@@ -21,7 +21,7 @@
 /// A router whose calls may move so many times after a refusal.
 fn router_with(policy: Policy, targets: u32, reroute_limit: u32) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy,
             ramp_us: 0,
             eject_failures: 3,
@@ -29,7 +29,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 3,
-        further: lynxcleat_policy::FurtherParams {
+        retry_budget: lynxcleat_policy::FurtherParams {
             percent: 10,
             bound: None,
         },
@@ -45,7 +45,7 @@
     let event = Event::Arrived {
         call,
         deadline: DEADLINE,
-        effect,
+        has_effects: effect,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -79,16 +79,16 @@
             reason,
             retry_after_us: 40_000,
         },
-        figures: None,
+        load: None,
     }
 }
 
-fn answered(attempt: AttemptId, source: Source) -> Event {
+fn answered(attempt: AttemptId, source: AnswerStatus) -> Event {
     Event::Answered {
         attempt,
-        source,
-        figures: None,
-        there_us: 10,
+        status: source,
+        load: None,
+        remote_us: 10,
         work_us: None,
     }
 }
@@ -105,15 +105,15 @@
         retry_after_us: 40_000,
     };
     assert_eq!(verdict(&end), expected);
-    assert_eq!(router.calls(), 0);
+    assert_eq!(router.pending_calls(), 0);
 }
 
 #[rstest]
 #[case::lookup_answer_lost(false, |a| Event::TargetLost { attempt: a }, true)]
 #[case::effect_answer_lost(true, |a| Event::TargetLost { attempt: a }, false)]
 #[case::lookup_link_lost(false, |a| Event::LinkLost { attempt: a }, true)]
-#[case::lookup_failed(false, |a| answered(a, Source::Failed), true)]
-#[case::effect_failed(true, |a| answered(a, Source::Failed), false)]
+#[case::lookup_failed(false, |a| answered(a, AnswerStatus::Failed), true)]
+#[case::effect_failed(true, |a| answered(a, AnswerStatus::Failed), false)]
 #[case::effect_not_sent(true, |a| Event::NotSent { attempt: a }, true)]
 #[case::effect_refused(true, |a| refused(a, RefusalReason::TooLate), true)]
 #[case::effect_settled_never(true, |a| Event::Settled { attempt: a, settlement: Settlement::NeverRan }, true)]
@@ -165,7 +165,7 @@
 fn a_lookup_that_failed_and_is_refused_elsewhere_is_told_its_failure() {
     let mut router = router(2);
     let (first, _) = sent(&arrive(&mut router, CALL, false));
-    let (second, _) = sent(&router.on(10, answered(first, Source::Failed)));
+    let (second, _) = sent(&router.on(10, answered(first, AnswerStatus::Failed)));
     let end = router.on(20, refused(second, RefusalReason::TooLate));
     assert_eq!(verdict(&end), Verdict::Answer { attempt: first });
 }
@@ -174,13 +174,13 @@
 fn a_call_that_is_out_at_its_deadline_is_cancelled_and_unknown() {
     let mut router = router(2);
     let (attempt, target) = sent(&arrive(&mut router, CALL, true));
-    let actions = router.on(DEADLINE, Event::DeadlineOver { call: CALL });
+    let actions = router.on(DEADLINE, Event::DeadlineExpired { call: CALL });
     assert_eq!(actions[0], Action::Cancel { attempt, target });
     let reason = UnknownReason::Deadline;
     assert_eq!(verdict(&actions), Verdict::Unknown { reason });
     assert!(
         router
-            .on(DEADLINE, answered(attempt, Source::Served))
+            .on(DEADLINE, answered(attempt, AnswerStatus::Served))
             .is_empty(),
         "late"
     );
@@ -204,7 +204,7 @@
     let event = Event::Arrived {
         call: CALL,
         deadline: DEADLINE,
-        effect: false,
+        has_effects: false,
         may_retry: false,
         attempt_limit: None,
         goal: None,
@@ -242,8 +242,8 @@
             router.on(0, refused(attempt, RefusalReason::WrongService));
         }
     }
-    let target = router.chooser().targets()[0];
-    let state = router.chooser().target(target).expect("listed");
+    let target = router.selector().targets()[0];
+    let state = router.selector().target(target).expect("listed");
     assert!(matches!(state.health(), Health::Ejected { .. }));
 }
 
@@ -258,7 +258,7 @@
         let event = Event::Arrived {
             call: CallId(id),
             deadline: now + DEADLINE,
-            effect: true,
+            has_effects: true,
             may_retry: true,
             attempt_limit: None,
             goal: None,
@@ -266,8 +266,8 @@
         };
         let (attempt, target) = sent(&router.on(now, event));
         let source = match target == bad && !ok {
-            true => Source::Failed,
-            false => Source::Served,
+            true => AnswerStatus::Failed,
+            false => AnswerStatus::Served,
         };
         router.on(now, answered(attempt, source));
         target
@@ -290,7 +290,7 @@
     let mut router = router(2);
     router.on(
         0,
-        Event::TargetLeaving {
+        Event::TargetDraining {
             target: TargetId(0),
         },
     );
@@ -310,7 +310,7 @@
     router.on(0, unlink(true));
     router.on(
         0,
-        Event::TargetBack {
+        Event::TargetResumed {
             target: TargetId(0),
         },
     );
@@ -320,9 +320,9 @@
 #[test]
 fn the_choice_goes_by_the_expected_finish() {
     let mut router = router(2);
-    let figures = |target, in_flight, service_us| Event::FiguresSeen {
+    let figures = |target, in_flight, service_us| Event::LoadReported {
         target: TargetId(target),
-        figures: Figures {
+        load: Figures {
             in_flight,
             held: 0,
             slots: 4,
@@ -378,14 +378,14 @@
 fn a_target_that_was_slow_to_reach_once_is_tried_again() {
     let mut router = router(2);
     let (first, slow) = sent(&arrive(&mut router, CALL, false));
-    router.on(50_000, answered(first, Source::Served));
+    router.on(50_000, answered(first, AnswerStatus::Served));
     let mut used = 0;
     for nth in 0..400 {
         let now = 60_000 + nth * 20_000;
         let event = Event::Arrived {
             call: CallId(10 + nth),
             deadline: now + DEADLINE,
-            effect: false,
+            has_effects: false,
             may_retry: true,
             attempt_limit: None,
             goal: None,
@@ -393,7 +393,7 @@
         };
         let (attempt, target) = sent(&router.on(now, event));
         used += u32::from(target == slow);
-        router.on(now + 300, answered(attempt, Source::Served));
+        router.on(now + 300, answered(attempt, AnswerStatus::Served));
     }
     assert!(used > 20, "{used} of 400");
 }
@@ -403,14 +403,20 @@
     let mut router = router(3);
     let doubt = |router: &mut Router, target, doubted| {
         let target = TargetId(target);
-        router.on(0, Event::TargetDoubted { target, doubted });
+        router.on(
+            0,
+            Event::TargetSuspected {
+                target,
+                suspected: doubted,
+            },
+        );
     };
     doubt(&mut router, 0, true);
     doubt(&mut router, 1, true);
     for call in 1..=20 {
         let (attempt, target) = sent(&arrive(&mut router, CallId(call), false));
         assert_eq!(target, TargetId(2));
-        router.on(0, answered(attempt, Source::Served));
+        router.on(0, answered(attempt, AnswerStatus::Served));
     }
     let (attempt, _) = sent(&arrive(&mut router, CallId(30), false));
     let again = router.on(0, Event::LinkLost { attempt });
@@ -440,7 +446,7 @@
     let mut router = router_with(Policy::ExpectedFinish, 3, 3);
     let (first, _) = sent(&arrive(&mut router, CALL, effect));
     let (second, _) = sent(&router.on(10, refused(first, RefusalReason::Busy)));
-    assert!(router.on(11, Event::BodyBegun { call: CALL }).is_empty());
+    assert!(router.on(11, Event::BodyStarted { call: CALL }).is_empty());
     let ended = router.on(12, refused(second, RefusalReason::TooLate));
     let reason = NotRunReason::Refused(RefusalReason::TooLate);
     assert!(matches!(verdict(&ended), Verdict::NotRun { reason: told, .. } if told == reason));
@@ -450,7 +456,7 @@
 fn a_lookup_whose_body_was_begun_is_not_sent_again() {
     let mut router = router_with(Policy::ExpectedFinish, 3, 3);
     let (first, _) = sent(&arrive(&mut router, CALL, false));
-    router.on(11, Event::BodyBegun { call: CALL });
+    router.on(11, Event::BodyStarted { call: CALL });
     let reason = UnknownReason::LinkLost;
     let ended = router.on(12, Event::LinkLost { attempt: first });
     assert_eq!(verdict(&ended), Verdict::Unknown { reason });
@@ -464,12 +470,12 @@
     for number in 0..5 {
         let call = CallId(100 + number);
         let (first, _) = sent(&arrive(&mut router, call, false));
-        let (second, _) = sent(&router.on(10, answered(first, Source::Failed)));
-        let end = router.on(20, answered(second, Source::Failed));
+        let (second, _) = sent(&router.on(10, answered(first, AnswerStatus::Failed)));
+        let end = router.on(20, answered(second, AnswerStatus::Failed));
         assert!(matches!(verdict(&end), Verdict::Answer { .. }));
     }
     for target in [TargetId(0), TargetId(1)] {
-        let state = router.chooser().target(target).expect("it is listed");
+        let state = router.selector().target(target).expect("it is listed");
         assert_eq!(state.health(), Health::Healthy, "{target:?}");
     }
 }
@@ -483,14 +489,14 @@
         let call = CallId(100 + number);
         let (first, target) = sent(&arrive(&mut router, call, false));
         if *failing.get_or_insert(target) != target {
-            router.on(10, answered(first, Source::Served));
+            router.on(10, answered(first, AnswerStatus::Served));
             continue;
         }
-        let (second, _) = sent(&router.on(10, answered(first, Source::Failed)));
-        router.on(20, answered(second, Source::Served));
+        let (second, _) = sent(&router.on(10, answered(first, AnswerStatus::Failed)));
+        router.on(20, answered(second, AnswerStatus::Served));
     }
     let ejected = failing.expect("a target was chosen");
-    let state = router.chooser().target(ejected).expect("it is listed");
+    let state = router.selector().target(ejected).expect("it is listed");
     assert!(matches!(state.health(), Health::Ejected { .. }));
 }
 
@@ -505,13 +511,13 @@
         let call = CallId(200 + number);
         let (attempt, _) = sent(&arrive(router, call, true));
         let request = request_of(number);
-        router.on(now, Event::Named { call, request });
-        router.on(now, answered(attempt, Source::Failed));
+        router.on(now, Event::Fingerprinted { call, request });
+        router.on(now, answered(attempt, AnswerStatus::Failed));
     }
 }
 
 fn ejected(router: &Router, targets: u32) -> usize {
-    let chooser = router.chooser();
+    let chooser = router.selector();
     let states = (0..targets).map(|id| chooser.target(TargetId(id)).expect("it is listed"));
     states
         .filter(|state| matches!(state.health(), Health::Ejected { .. }))
@@ -546,17 +552,17 @@
     let mut router = router(2);
     fail_operations(&mut router, 10, |_| BAD);
     let before = router.counts().own_failures;
-    assert!(before > 0 && router.any_failing(0));
+    assert!(before > 0 && router.has_failing_requests(0));
     let (served, _) = sent(&arrive(&mut router, CALL, true));
     router.on(
         1,
-        Event::Named {
+        Event::Fingerprinted {
             call: CALL,
             request: BAD,
         },
     );
-    router.on(2, answered(served, Source::Served));
-    assert!(!router.any_failing(2));
+    router.on(2, answered(served, AnswerStatus::Served));
+    assert!(!router.has_failing_requests(2));
     fail_operations(&mut router, 1, |_| BAD);
     assert_eq!(router.counts().own_failures, before);
 }
@@ -569,17 +575,17 @@
     let (attempt, _) = sent(&arrive(&mut router, CALL, true));
     let long_after = 31_000_000;
     assert!(
-        !router.any_failing(long_after),
+        !router.has_failing_requests(long_after),
         "no request needs to be named"
     );
     router.on(
         long_after,
-        Event::Named {
+        Event::Fingerprinted {
             call: CALL,
             request: BAD,
         },
     );
     let before = router.counts().own_failures;
-    router.on(long_after, answered(attempt, Source::Failed));
+    router.on(long_after, answered(attempt, AnswerStatus::Failed));
     assert_eq!(router.counts().own_failures, before);
 }
--- a/crates/policy/tests/targets_down.rs
+++ b/crates/policy/tests/targets_down.rs
@@ -1,8 +1,9 @@
 //! Calls whose target is down go on to those that are up.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, Event, FurtherParams, Health, NotRunReason,
-    Policy, Refusal, RefusalReason, Router, RouterParams, Source, TargetId, Verdict, WayPrices,
+    Action, AnswerStatus, AttemptId, CallId, CallKind, Event, FurtherParams, Health, NotRunReason,
+    Policy, Refusal, RefusalReason, Router, RouterParams, SelectionParams, TargetId, Verdict,
+    WayPrices,
 };
 
 const EJECT_US: u64 = 1_000_000;
@@ -11,7 +12,7 @@
 /// A router whose calls have two attempts, none beyond the budget, and may not be moved.
 fn router(targets: u32) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::ExpectedFinish,
             ramp_us: 0,
             eject_failures: 3,
@@ -19,7 +20,7 @@
             prices: WayPrices::default(),
         },
         attempt_limit: 2,
-        further: FurtherParams {
+        retry_budget: FurtherParams {
             percent: 0,
             bound: None,
         },
@@ -35,7 +36,7 @@
     let event = Event::Arrived {
         call: CallId(call),
         deadline: DEADLINE,
-        effect: true,
+        has_effects: true,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -63,7 +64,7 @@
             reason: RefusalReason::TargetDown,
             retry_after_us: 250_000,
         },
-        figures: None,
+        load: None,
     }
 }
 
@@ -75,9 +76,9 @@
 fn answered(attempt: AttemptId) -> Event {
     Event::Answered {
         attempt,
-        source: Source::Served,
-        figures: None,
-        there_us: 0,
+        status: AnswerStatus::Served,
+        load: None,
+        remote_us: 0,
         work_us: None,
     }
 }
@@ -162,7 +163,7 @@
         router.on(0, end);
     }
     let health = |router: &Router| {
-        let state = router.chooser().target(TargetId(0));
+        let state = router.selector().target(TargetId(0));
         state.expect("it is known").health()
     };
     assert!(matches!(health(&router), Health::Ejected { .. }));
