--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router's decisions, as a table of what happens and what is done.
+//! Events and the resulting actions of a single router.
 
 use lynxcleat_policy::{
     Action, AnswerStatus, AttemptId, CallId, Candidate, Event, Figures, Fingerprint, Health, Here,
@@ -11,15 +11,15 @@
 const DEADLINE: u64 = 1_000_000;
 
 fn router(targets: u32) -> Router {
-    router_of(Policy::ExpectedFinish, targets)
+    router_with_policy(Policy::ExpectedFinish, targets)
 }
 
-fn router_of(policy: Policy, targets: u32) -> Router {
-    router_with(policy, targets, 0)
+fn router_with_policy(policy: Policy, targets: u32) -> Router {
+    router_with_reroutes(policy, targets, 0)
 }
 
-/// A router whose calls may move so many times after a refusal.
-fn router_with(policy: Policy, targets: u32, reroute_limit: u32) -> Router {
+/// Creates a router that reroutes a refused call up to `reroute_limit` times.
+fn router_with_reroutes(policy: Policy, targets: u32, reroute_limit: u32) -> Router {
     let params = RouterParams {
         selection: SelectionParams {
             policy,
@@ -41,11 +41,11 @@
     router
 }
 
-fn arrive(router: &mut Router, call: CallId, effect: bool) -> Vec<Action> {
+fn arrive(router: &mut Router, call: CallId, has_effects: bool) -> Vec<Action> {
     let event = Event::Arrived {
         call,
         deadline: DEADLINE,
-        has_effects: effect,
+        has_effects,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -61,14 +61,14 @@
                 attempt, target, ..
             },
         ] => (*attempt, *target),
-        other => panic!("expected one send, got {other:?}"),
+        other => panic!("expected a single send action, got {other:?}"),
     }
 }
 
 fn verdict(actions: &[Action]) -> Verdict {
     match actions.last() {
         Some(Action::Finish { verdict, .. }) => *verdict,
-        other => panic!("expected an end, got {other:?}"),
+        other => panic!("expected a finish action last, got {other:?}"),
     }
 }
 
@@ -83,10 +83,10 @@
     }
 }
 
-fn answered(attempt: AttemptId, source: AnswerStatus) -> Event {
+fn answered(attempt: AttemptId, status: AnswerStatus) -> Event {
     Event::Answered {
         attempt,
-        status: source,
+        status,
         load: None,
         remote_us: 10,
         work_us: None,
@@ -94,11 +94,11 @@
 }
 
 #[test]
-fn a_refused_call_goes_to_another_target_and_is_given_up_at_once_after_the_last() {
+fn a_refused_call_is_offered_to_each_target_and_then_answered_at_once() {
     let mut router = router(2);
-    let (first, at) = sent(&arrive(&mut router, CALL, true));
-    let (second, other) = sent(&router.on(10, refused(first, RefusalReason::Full)));
-    assert_ne!(at, other);
+    let (first, first_target) = sent(&arrive(&mut router, CALL, true));
+    let (second, second_target) = sent(&router.on(10, refused(first, RefusalReason::Full)));
+    assert_ne!(first_target, second_target);
     let end = router.on(20, refused(second, RefusalReason::Full));
     let expected = Verdict::NotRun {
         reason: NotRunReason::Refused(RefusalReason::Full),
@@ -118,23 +118,23 @@
 #[case::effect_refused(true, |a| refused(a, RefusalReason::TooLate), true)]
 #[case::effect_settled_never(true, |a| Event::Settled { attempt: a, settlement: Settlement::NeverRan }, true)]
 #[case::effect_settled_unknown(true, |a| Event::Settled { attempt: a, settlement: Settlement::Unknown }, false)]
-fn only_what_cannot_run_twice_is_sent_again(
-    #[case] effect: bool,
+fn a_call_is_sent_again_only_if_its_effects_cannot_happen_twice(
+    #[case] has_effects: bool,
     #[case] event: fn(AttemptId) -> Event,
-    #[case] again: bool,
+    #[case] is_sent_again: bool,
 ) {
     let mut router = router(2);
-    let (attempt, _) = sent(&arrive(&mut router, CALL, effect));
+    let (attempt, _) = sent(&arrive(&mut router, CALL, has_effects));
     let actions = router.on(10, event(attempt));
     assert_eq!(
         matches!(actions[..], [Action::Send { .. }]),
-        again,
+        is_sent_again,
         "{actions:?}"
     );
 }
 
 #[test]
-fn an_effect_whose_link_was_lost_is_settled_before_anything_is_said() {
+fn a_call_with_effects_is_settled_before_it_finishes_after_a_lost_link() {
     let mut router = router(2);
     let (attempt, target) = sent(&arrive(&mut router, CALL, true));
     let settle = Action::Settle {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_lookup_that_may_have_run_is_never_called_not_run() {
+fn a_lookup_that_may_have_run_is_never_reported_as_not_run() {
     let mut router = router(1);
     let (attempt, _) = sent(&arrive(&mut router, CALL, false));
     let end = router.on(10, Event::TargetLost { attempt });
@@ -159,10 +159,10 @@
     assert_eq!(verdict(&end), Verdict::Unknown { reason });
 }
 
-/// Found in an incident's log: a lookup that a target had run and failed was told "not
-/// run" when the next target refused it.
+/// Guards against a wrong `not-run`: a lookup ran and failed at one target, and the refusal by
+/// the next target replaced the failure in the verdict. Found in the log of an incident.
 #[test]
-fn a_lookup_that_failed_and_is_refused_elsewhere_is_told_its_failure() {
+fn a_lookup_that_failed_and_is_refused_elsewhere_reports_its_failure() {
     let mut router = router(2);
     let (first, _) = sent(&arrive(&mut router, CALL, false));
     let (second, _) = sent(&router.on(10, answered(first, AnswerStatus::Failed)));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_call_that_is_out_at_its_deadline_is_cancelled_and_unknown() {
+fn a_call_in_flight_at_its_deadline_is_cancelled_and_unknown() {
     let mut router = router(2);
     let (attempt, target) = sent(&arrive(&mut router, CALL, true));
     let actions = router.on(DEADLINE, Event::DeadlineExpired { call: CALL });
@@ -182,7 +182,7 @@
         router
             .on(DEADLINE, answered(attempt, AnswerStatus::Served))
             .is_empty(),
-        "late"
+        "a late answer is ignored"
     );
 }
 
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_retry_of_a_call_higher_up_is_not_tried_again() {
+fn a_call_that_may_not_be_retried_has_one_attempt() {
     let mut router = router(3);
     let event = Event::Arrived {
         call: CALL,
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn retries_of_many_refused_calls_stay_within_the_share() {
+fn retries_of_many_refused_calls_stay_within_the_budget() {
     let mut router = router(3);
     for nth in 0..1_000 {
         let mut actions = arrive(&mut router, CallId(nth), false);
@@ -232,7 +232,8 @@
     );
 }
 
-/// What a router believes of its service is out of date; it would refuse every call.
+/// The router's list of the service's targets is outdated, and the target would refuse every
+/// call.
 #[test]
 fn a_target_of_another_service_is_ejected() {
     let mut router = router(1);
@@ -243,17 +244,17 @@
         }
     }
     let target = router.selector().targets()[0];
-    let state = router.selector().target(target).expect("listed");
+    let state = router.selector().target(target).expect("target is known");
     assert!(matches!(state.health(), Health::Ejected { .. }));
 }
 
 #[test]
-fn a_failing_target_is_ejected_and_let_back_by_one_trial() {
-    let mut router = router_of(Policy::RoundRobin, 2);
+fn a_failing_target_is_ejected_and_returns_after_one_trial_call() {
+    let mut router = router_with_policy(Policy::RoundRobin, 2);
     let bad = TargetId(0);
     let mut id = 0;
     let mut now = 1;
-    let mut picks = |router: &mut Router, now: u64, ok: bool| {
+    let mut pick = |router: &mut Router, now: u64, ok: bool| {
         id += 1;
         let event = Event::Arrived {
             call: CallId(id),
@@ -265,28 +266,32 @@
             kind: lynxcleat_policy::CallKind::default(),
         };
         let (attempt, target) = sent(&router.on(now, event));
-        let source = match target == bad && !ok {
+        let status = match target == bad && !ok {
             true => AnswerStatus::Failed,
             false => AnswerStatus::Served,
         };
-        router.on(now, answered(attempt, source));
+        router.on(now, answered(attempt, status));
         target
     };
-    let first: Vec<_> = (0..40).map(|_| picks(&mut router, now, false)).collect();
+    let first: Vec<_> = (0..40).map(|_| pick(&mut router, now, false)).collect();
     assert_eq!(first.iter().filter(|t| **t == bad).count(), 3);
     now += 100_001;
-    let second: Vec<_> = (0..40).map(|_| picks(&mut router, now, false)).collect();
-    assert_eq!(second.iter().filter(|t| **t == bad).count(), 1, "one trial");
+    let second: Vec<_> = (0..40).map(|_| pick(&mut router, now, false)).collect();
+    assert_eq!(
+        second.iter().filter(|t| **t == bad).count(),
+        1,
+        "one trial call"
+    );
     now += 200_001;
-    let third: Vec<_> = (0..40).map(|_| picks(&mut router, now, true)).collect();
+    let third: Vec<_> = (0..40).map(|_| pick(&mut router, now, true)).collect();
     assert!(
         third.iter().filter(|t| **t == bad).count() > 5,
-        "it is back"
+        "the target takes calls again"
     );
 }
 
 #[test]
-fn a_leaving_or_unlinked_target_gets_no_call() {
+fn a_draining_or_unlinked_target_gets_no_call() {
     let mut router = router(2);
     router.on(
         0,
@@ -300,14 +305,14 @@
             TargetId(1)
         );
     }
-    let unlink = |linked| Event::TargetLinked {
+    let link_event = |linked| Event::TargetLinked {
         target: TargetId(1),
         linked,
     };
-    router.on(0, unlink(false));
+    router.on(0, link_event(false));
     let end = arrive(&mut router, CallId(50), false);
     assert!(matches!(verdict(&end), Verdict::NotRun { .. }));
-    router.on(0, unlink(true));
+    router.on(0, link_event(true));
     router.on(
         0,
         Event::TargetResumed {
@@ -318,9 +323,9 @@
 }
 
 #[test]
-fn the_choice_goes_by_the_expected_finish() {
+fn the_target_with_the_lowest_expected_finish_time_is_selected() {
     let mut router = router(2);
-    let figures = |target, in_flight, service_us| Event::LoadReported {
+    let load_report = |target, in_flight, service_us| Event::LoadReported {
         target: TargetId(target),
         load: Figures {
             in_flight,
@@ -331,20 +336,20 @@
             slowness_age_ms: 0,
         },
     };
-    router.on(0, figures(0, 0, 1_000));
-    router.on(0, figures(1, 0, 5_000));
+    router.on(0, load_report(0, 0, 1_000));
+    router.on(0, load_report(1, 0, 5_000));
     for nth in 0..4 {
         assert_eq!(
             sent(&arrive(&mut router, CallId(nth), false)).1,
             TargetId(0)
         );
     }
-    router.on(0, figures(0, 24, 1_000));
+    router.on(0, load_report(0, 24, 1_000));
     assert_eq!(sent(&arrive(&mut router, CallId(9), false)).1, TargetId(1));
 }
 
 #[test]
-fn a_subset_is_nearest_first_bounded_and_different_for_each_router() {
+fn a_subset_is_sorted_by_distance_bounded_and_different_for_each_router() {
     let candidates: Vec<Candidate> = (0..60)
         .map(|n| Candidate {
             evacuated: false,
@@ -365,21 +370,25 @@
     assert_eq!(first.len(), 15);
     assert!(
         first[..10].iter().all(|t| t.0 % 6 == 0),
-        "the zone's own ten first"
+        "the ten targets of the same zone come first"
+    );
+    assert!(
+        first[10..].iter().all(|t| t.0 % 3 == 0),
+        "targets of the same place follow"
     );
-    assert!(first[10..].iter().all(|t| t.0 % 3 == 0), "then the place's");
     let second = subset(here("router-2"), &candidates, 15);
     assert_ne!(first[10..], second[10..]);
     assert_eq!(first, subset(here("router-1"), &candidates, 15));
 }
 
-/// Found by the leaving tests: one slow first answer kept a target idle for good.
+/// Guards against a target that stays idle for ever: after one slow first answer, its path time
+/// looked too long for it to be selected again, so no new measurement corrected it.
 #[test]
-fn a_target_that_was_slow_to_reach_once_is_tried_again() {
+fn a_target_that_was_slow_to_reach_once_is_selected_again() {
     let mut router = router(2);
     let (first, slow) = sent(&arrive(&mut router, CALL, false));
     router.on(50_000, answered(first, AnswerStatus::Served));
-    let mut used = 0;
+    let mut selected = 0;
     for nth in 0..400 {
         let now = 60_000 + nth * 20_000;
         let event = Event::Arrived {
@@ -392,27 +401,21 @@
             kind: lynxcleat_policy::CallKind::default(),
         };
         let (attempt, target) = sent(&router.on(now, event));
-        used += u32::from(target == slow);
+        selected += u32::from(target == slow);
         router.on(now + 300, answered(attempt, AnswerStatus::Served));
     }
-    assert!(used > 20, "{used} of 400");
+    assert!(selected > 20, "{selected} of 400");
 }
 
 #[test]
-fn a_target_whose_link_may_be_silent_is_passed_over_while_there_is_another() {
+fn a_target_whose_link_may_be_silent_is_skipped_while_another_is_available() {
     let mut router = router(3);
-    let doubt = |router: &mut Router, target, doubted| {
+    let suspect = |router: &mut Router, target, suspected| {
         let target = TargetId(target);
-        router.on(
-            0,
-            Event::TargetSuspected {
-                target,
-                suspected: doubted,
-            },
-        );
+        router.on(0, Event::TargetSuspected { target, suspected });
     };
-    doubt(&mut router, 0, true);
-    doubt(&mut router, 1, true);
+    suspect(&mut router, 0, true);
+    suspect(&mut router, 1, true);
     for call in 1..=20 {
         let (attempt, target) = sent(&arrive(&mut router, CallId(call), false));
         assert_eq!(target, TargetId(2));
@@ -422,10 +425,10 @@
     let again = router.on(0, Event::LinkLost { attempt });
     assert!(
         sent(&again).1 != TargetId(2),
-        "the others are better than none"
+        "suspected targets are used if no other is left"
     );
-    doubt(&mut router, 0, false);
-    doubt(&mut router, 2, true);
+    suspect(&mut router, 0, false);
+    suspect(&mut router, 2, true);
     assert_eq!(sent(&arrive(&mut router, CallId(31), false)).1, TargetId(0));
     router.on(
         0,
@@ -436,25 +439,25 @@
     );
     let targets = (40..80).map(|call| sent(&arrive(&mut router, CallId(call), false)).1);
     let targets: std::collections::BTreeSet<u32> = targets.map(|target| target.0).collect();
-    assert_eq!(targets, [0, 1].into(), "a new link is beyond doubt");
+    assert_eq!(targets, [0, 1].into(), "a new link is not suspected");
 }
 
 #[rstest]
 #[case::operation(true)]
 #[case::lookup(false)]
-fn a_call_moves_until_its_body_is_begun_and_never_after(#[case] effect: bool) {
-    let mut router = router_with(Policy::ExpectedFinish, 3, 3);
-    let (first, _) = sent(&arrive(&mut router, CALL, effect));
+fn a_call_moves_until_its_body_is_started_and_never_after(#[case] has_effects: bool) {
+    let mut router = router_with_reroutes(Policy::ExpectedFinish, 3, 3);
+    let (first, _) = sent(&arrive(&mut router, CALL, has_effects));
     let (second, _) = sent(&router.on(10, refused(first, RefusalReason::Busy)));
     assert!(router.on(11, Event::BodyStarted { call: CALL }).is_empty());
     let ended = router.on(12, refused(second, RefusalReason::TooLate));
     let reason = NotRunReason::Refused(RefusalReason::TooLate);
-    assert!(matches!(verdict(&ended), Verdict::NotRun { reason: told, .. } if told == reason));
+    assert!(matches!(verdict(&ended), Verdict::NotRun { reason: actual, .. } if actual == reason));
 }
 
 #[test]
-fn a_lookup_whose_body_was_begun_is_not_sent_again() {
-    let mut router = router_with(Policy::ExpectedFinish, 3, 3);
+fn a_lookup_whose_body_was_started_is_not_sent_again() {
+    let mut router = router_with_reroutes(Policy::ExpectedFinish, 3, 3);
     let (first, _) = sent(&arrive(&mut router, CALL, false));
     router.on(11, Event::BodyStarted { call: CALL });
     let reason = UnknownReason::LinkLost;
@@ -462,8 +465,9 @@
     assert_eq!(verdict(&ended), Verdict::Unknown { reason });
 }
 
-/// A request that no target can answer speaks against itself. It was charged to each target
-/// that ran it, so that five repetitions ejected healthy ones, and other calls were refused.
+/// Guards against ejecting healthy targets: when the failures of a request that no target can
+/// answer counted against each target that ran it, five repetitions ejected the targets, and
+/// other calls were refused.
 #[test]
 fn a_lookup_that_fails_at_two_targets_ejects_neither() {
     let mut router = router(2);
@@ -475,12 +479,12 @@
         assert!(matches!(verdict(&end), Verdict::Answer { .. }));
     }
     for target in [TargetId(0), TargetId(1)] {
-        let state = router.selector().target(target).expect("it is listed");
+        let state = router.selector().target(target).expect("target is known");
         assert_eq!(state.health(), Health::Healthy, "{target:?}");
     }
 }
 
-/// The same failures speak against a target where others serve what it fails.
+/// The same failures count against a target if other targets serve the calls that it fails.
 #[test]
 fn a_target_that_fails_what_another_serves_is_ejected() {
     let mut router = router(2);
@@ -496,18 +500,19 @@
         router.on(20, answered(second, AnswerStatus::Served));
     }
     let ejected = failing.expect("a target was chosen");
-    let state = router.selector().target(ejected).expect("it is listed");
+    let state = router.selector().target(ejected).expect("target is known");
     assert!(matches!(state.health(), Health::Ejected { .. }));
 }
 
 const BAD: Fingerprint = Fingerprint(7, 7);
 /// Time between two repetitions of a request, in microseconds.
-const REPEATED_US: u64 = 1_000;
+const REPEAT_INTERVAL_US: u64 = 1_000;
 
-/// Operations that fail one after the other; `request_of` names each by its number.
+/// Runs `count` failing operations one after the other. `request_of` returns the fingerprint of
+/// each by its number.
 fn fail_operations(router: &mut Router, count: u64, request_of: impl Fn(u64) -> Fingerprint) {
     for number in 0..count {
-        let now = number * REPEATED_US;
+        let now = number * REPEAT_INTERVAL_US;
         let call = CallId(200 + number);
         let (attempt, _) = sent(&arrive(router, call, true));
         let request = request_of(number);
@@ -516,39 +521,39 @@
     }
 }
 
-fn ejected(router: &Router, targets: u32) -> usize {
-    let chooser = router.selector();
-    let states = (0..targets).map(|id| chooser.target(TargetId(id)).expect("it is listed"));
+fn ejected_count(router: &Router, targets: u32) -> usize {
+    let selector = router.selector();
+    let states = (0..targets).map(|id| selector.target(TargetId(id)).expect("target is known"));
     states
         .filter(|state| matches!(state.health(), Health::Ejected { .. }))
         .count()
 }
 
-/// One operation that fails wherever it runs: the first target is charged, and no other.
+/// The failures of one operation that fails everywhere count against the first target only.
 #[test]
 fn an_operation_that_fails_everywhere_ejects_one_target_at_most() {
     let mut router = router(4);
     fail_operations(&mut router, 40, |_| BAD);
-    assert!(ejected(&router, 4) <= 1);
+    assert!(ejected_count(&router, 4) <= 1);
     assert!(
         router.counts().own_failures >= 35,
-        "{} excused",
+        "{} failures counted against the request",
         router.counts().own_failures
     );
 }
 
-/// Different operations that fail tell of the targets.
+/// Failures of different operations count against the targets.
 #[test]
 fn targets_that_fail_different_operations_are_ejected() {
     let mut router = router(4);
     fail_operations(&mut router, 12, |number| Fingerprint(number, 0));
-    assert_eq!(ejected(&router, 4), 4);
+    assert_eq!(ejected_count(&router, 4), 4);
     assert_eq!(router.counts().own_failures, 0);
 }
 
-/// A request that is served now and then fails through its targets.
+/// The failures of a request that some targets serve count against the targets that fail it.
 #[test]
-fn a_request_that_was_served_speaks_against_targets_again() {
+fn failures_of_a_request_that_was_served_count_against_targets_again() {
     let mut router = router(2);
     fail_operations(&mut router, 10, |_| BAD);
     let before = router.counts().own_failures;
@@ -567,16 +572,16 @@
     assert_eq!(router.counts().own_failures, before);
 }
 
-/// What failed long ago is forgotten.
+/// Failures expire: a request that failed long ago is no longer taken to be at fault.
 #[test]
-fn failing_requests_are_forgotten() {
+fn failing_requests_expire() {
     let mut router = router(2);
     fail_operations(&mut router, 2, |_| BAD);
     let (attempt, _) = sent(&arrive(&mut router, CALL, true));
     let long_after = 31_000_000;
     assert!(
         !router.has_failing_requests(long_after),
-        "no request needs to be named"
+        "no request needs a fingerprint"
     );
     router.on(
         long_after,
--- a/crates/policy/tests/targets_down.rs
+++ b/crates/policy/tests/targets_down.rs
@@ -1,4 +1,4 @@
-//! Calls whose target is down go on to those that are up.
+//! Calls to a target that is down are offered to targets that are up.
 
 use lynxcleat_policy::{
     Action, AnswerStatus, AttemptId, CallId, CallKind, Event, FurtherParams, Health, NotRunReason,
@@ -9,7 +9,7 @@
 const EJECT_US: u64 = 1_000_000;
 const DEADLINE: u64 = 60_000_000;
 
-/// A router whose calls have two attempts, none beyond the budget, and may not be moved.
+/// Creates a router with two attempts per call, no retry budget and no reroutes.
 fn router(targets: u32) -> Router {
     let params = RouterParams {
         selection: SelectionParams {
@@ -45,7 +45,7 @@
     router.on(now, event)
 }
 
-/// The attempt that is sent and where; nothing where the call ended.
+/// The attempt that is sent and its target, or `None` if the call ended.
 fn sent(actions: &[Action]) -> Option<(AttemptId, TargetId)> {
     match actions {
         [
@@ -68,7 +68,7 @@
     }
 }
 
-fn down(target: u32, down: bool) -> Event {
+fn target_down(target: u32, down: bool) -> Event {
     let target = TargetId(target);
     Event::TargetDown { target, down }
 }
@@ -84,27 +84,27 @@
 }
 
 #[test]
-fn a_call_goes_on_until_a_target_is_up() {
+fn a_call_is_offered_until_a_target_is_up() {
     let mut router = router(6);
     let mut next = sent(&arrive(&mut router, 0, 1));
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     for _ in 0..5 {
         let (attempt, target) = next.expect("another target");
-        asked.push(target);
+        tried.push(target);
         next = sent(&router.on(0, refused(attempt)));
     }
-    let (attempt, target) = next.expect("the last one");
-    assert!(!asked.contains(&target), "no target twice");
+    let (attempt, target) = next.expect("the last target");
+    assert!(!tried.contains(&target), "no target is tried twice");
     let end = router.on(0, answered(attempt));
     assert!(matches!(end[..], [Action::Finish { .. }]), "{end:?}");
-    assert_eq!(router.counts().retries, 0, "none of the budget");
+    assert_eq!(router.counts().retries, 0, "the retry budget is not used");
 }
 
 #[test]
 fn a_call_is_refused_once_every_target_is_down() {
     let mut router = router(2);
     let (first, _) = sent(&arrive(&mut router, 0, 1)).expect("a target");
-    let (second, _) = sent(&router.on(0, refused(first))).expect("the other one");
+    let (second, _) = sent(&router.on(0, refused(first))).expect("the other target");
     let end = router.on(0, refused(second));
     let Some(Action::Finish { verdict, .. }) = end.last() else {
         panic!("{end:?}");
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn a_target_that_is_down_gets_no_call_until_it_is_back() {
+fn a_target_that_is_down_gets_no_call_until_it_is_up() {
     let mut router = router(2);
-    router.on(0, down(0, true));
+    router.on(0, target_down(0, true));
     let picks = |router: &mut Router, now, calls: std::ops::Range<u64>| -> Vec<TargetId> {
         let picked = calls.map(|call| {
             let (attempt, target) = sent(&arrive(router, now, call)).expect("a target");
@@ -130,29 +130,36 @@
     };
     let all = picks(&mut router, 0, 0..20);
     assert!(all.iter().all(|target| *target == TargetId(1)), "{all:?}");
-    router.on(1_000, down(0, false));
+    router.on(1_000, target_down(0, false));
     let all = picks(&mut router, 1_000, 20..40);
     assert!(all.contains(&TargetId(0)), "{all:?}");
 }
 
-/// Word that it is back may be lost: one call at a time finds out.
+/// The report that a target is up again may be lost, so one trial call at a time checks.
 #[test]
-fn a_target_that_stays_down_is_tried_by_one_call_at_a_time() {
+fn a_target_that_stays_down_gets_one_trial_call_at_a_time() {
     let mut router = router(1);
-    router.on(0, down(0, true));
+    router.on(0, target_down(0, true));
     assert_eq!(sent(&arrive(&mut router, EJECT_US - 1, 1)), None);
-    let (trial, _) = sent(&arrive(&mut router, EJECT_US, 2)).expect("a trial");
-    assert_eq!(sent(&arrive(&mut router, EJECT_US, 3)), None, "one trial");
+    let (trial, _) = sent(&arrive(&mut router, EJECT_US, 2)).expect("a trial call");
+    assert_eq!(
+        sent(&arrive(&mut router, EJECT_US, 3)),
+        None,
+        "one trial call at a time"
+    );
     assert_eq!(sent(&router.on(EJECT_US, refused(trial))), None);
     assert_eq!(sent(&arrive(&mut router, 2 * EJECT_US - 1, 4)), None);
-    let (trial, _) = sent(&arrive(&mut router, 2 * EJECT_US, 5)).expect("a trial");
+    let (trial, _) = sent(&arrive(&mut router, 2 * EJECT_US, 5)).expect("a trial call");
     router.on(2 * EJECT_US, answered(trial));
-    assert!(sent(&arrive(&mut router, 2 * EJECT_US, 6)).is_some(), "up");
+    assert!(
+        sent(&arrive(&mut router, 2 * EJECT_US, 6)).is_some(),
+        "target is up"
+    );
 }
 
-/// A process that is started again is not blamed for the one before it.
+/// The failures of a target's previous process do not count against the new one.
 #[test]
-fn a_target_that_is_back_is_ejected_no_more() {
+fn a_target_that_comes_up_is_no_longer_ejected() {
     let mut router = router(2);
     for call in 0..20 {
         let (attempt, target) = sent(&arrive(&mut router, 0, call)).expect("a target");
@@ -164,10 +171,10 @@
     }
     let health = |router: &Router| {
         let state = router.selector().target(TargetId(0));
-        state.expect("it is known").health()
+        state.expect("target is known").health()
     };
     assert!(matches!(health(&router), Health::Ejected { .. }));
-    router.on(0, down(0, true));
-    router.on(1_000, down(0, false));
+    router.on(0, target_down(0, true));
+    router.on(1_000, target_down(0, false));
     assert_eq!(health(&router), Health::Healthy);
 }
