--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -35,7 +35,7 @@
     OutsideHome,
     /// The target runs a version that does not take this call during a rollout.
     Version,
-    /// Targets crashed on the same request, so it is temporarily offered to none.
+    /// Targets terminated while running the same request, so it is temporarily offered to none.
     Quarantined,
 }
 
@@ -62,7 +62,7 @@
     Deadline,
     /// No link to a target's daemon could be established.
     NoLink,
-    /// Targets crashed on the same request, so it is temporarily offered to none.
+    /// Targets terminated while running the same request, so it is temporarily offered to none.
     Quarantined,
 }
 
@@ -203,7 +203,7 @@
         /// The resolved outcome.
         settlement: Settlement,
     },
-    /// Targets crashed on the same request: no further attempt is made.
+    /// Targets terminated while running the same request: no further attempt is made.
     Quarantined {
         /// The call.
         call: CallId,
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -77,7 +77,8 @@
     first_failed_target: Option<TargetId>,
     soonest_retry_us: Option<Micros>,
     last_refusal: NotRunReason,
-    /// Retry delay, if targets crashed on the same request so that no further attempt is made.
+    /// Retry delay, if targets terminated while running the same request so that no further
+    /// attempt is made.
     quarantined_us: Option<Micros>,
 }
 
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -382,7 +382,8 @@
 }
 
 /// Guards against a target that stays idle for ever: after one slow first answer, its path time
-/// looked too long for it to be selected again, so no new measurement corrected it.
+/// looked too long for it to be selected again, so no new measurement corrected it. Found by the
+/// tests of draining targets.
 #[test]
 fn a_target_that_was_slow_to_reach_once_is_selected_again() {
     let mut router = router(2);
