--- a/crates/daemon/src/route/params.rs
+++ b/crates/daemon/src/route/params.rs
@@ -1,7 +1,7 @@
 //! A router's parameters, from the settings in force for its service.
 
 use lynxcleat_policy::{
-    ChooseParams, DistanceCosts, Policy, RetryBound, RetryParams, RouterParams,
+    DistanceCosts, Policy, RetryBound, RetryParams, RouterParams, SelectionParams,
 };
 use lynxcleat_settings::Effective;
 
@@ -29,7 +29,7 @@
 /// What the settings in force for a service say to its router, in a fleet of `hosts`.
 pub(super) fn params(effective: &Effective, hosts: usize) -> RouterParams {
     RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: effective.policy.parse().unwrap_or(Policy::ExpectedFinish),
             ramp_us: effective.ramp_ms * 1_000,
             eject_failures: effective.eject_failures,
@@ -37,7 +37,7 @@
             prices: way_prices(effective),
         },
         attempt_limit: effective.attempt_limit,
-        further: RetryParams {
+        retry_budget: RetryParams {
             percent: effective.retry_percent,
             bound: retry_bound(effective, hosts),
         },
--- a/crates/load/src/rounds.rs
+++ b/crates/load/src/rounds.rs
@@ -1,7 +1,7 @@
 //! The load cases in which policies are compared, and their figures.
 
 use lynxcleat_policy::{
-    AdmissionLimits, ChooseParams, DistanceCosts, Micros, Policy, RouterParams,
+    AdmissionLimits, DistanceCosts, Micros, Policy, RouterParams, SelectionParams,
 };
 use serde::Serialize;
 
@@ -222,7 +222,7 @@
         },
         service_us: SERVICE_US,
         params: RouterParams {
-            choose: ChooseParams {
+            selection: SelectionParams {
                 policy: balancer.policy(),
                 ramp_us: 2 * SECOND,
                 eject_failures: 5,
@@ -230,7 +230,7 @@
                 prices: DistanceCosts::default(),
             },
             attempt_limit: 3,
-            further: lynxcleat_policy::RetryParams {
+            retry_budget: lynxcleat_policy::RetryParams {
                 percent: retry_percent,
                 bound: None,
             },
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -9,9 +9,9 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use lynxcleat_policy::{
-    Action, AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, AttemptId,
-    CallAttributes, CallId, CallKind, DistanceCosts, Event, Micros, Refusal, Router, RouterParams,
-    Source, TargetId, TargetLoad, Verdict,
+    Action, AdmissionAction, AdmissionController, AdmissionEvent, AdmissionLimits, AnswerStatus,
+    AttemptId, CallAttributes, CallId, CallKind, DistanceCosts, Event, Micros, Refusal, Router,
+    RouterParams, TargetId, TargetLoad, Verdict,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -265,7 +265,7 @@
             What::AtTarget { target, sent } => self.at_target(target, sent),
             What::Ended { target, local, ok } => self.ended(target, local, ok),
             What::Back { sent, reply } => self.back(sent, reply),
-            What::Deadline { router, call } => self.feed(router, Event::DeadlineOver { call }),
+            What::Deadline { router, call } => self.feed(router, Event::DeadlineExpired { call }),
             What::Join => self.join(),
         }
     }
@@ -318,7 +318,7 @@
         let event = Event::Arrived {
             call,
             deadline,
-            effect: false,
+            has_effects: false,
             may_retry: true,
             attempt_limit: None,
             goal: None,
@@ -454,22 +454,22 @@
         let event = match reply {
             Reply::Served { there_us } => Event::Answered {
                 attempt,
-                source: Source::Served,
-                figures,
-                there_us,
+                status: AnswerStatus::Served,
+                load: figures,
+                remote_us: there_us,
                 work_us: None,
             },
             Reply::Failed => Event::Answered {
                 attempt,
-                source: Source::Failed,
-                figures,
-                there_us: 0,
+                status: AnswerStatus::Failed,
+                load: figures,
+                remote_us: 0,
                 work_us: None,
             },
             Reply::Refused(nth) => Event::Refused {
                 attempt,
                 refusal: self.refusals[nth],
-                figures,
+                load: figures,
             },
         };
         let failed = reply == Reply::Failed;
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -5,9 +5,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lynxcleat_policy::{
-    Action, AdmissionController, AdmissionEvent, AdmissionLimits, Budget, CallAttributes, CallId,
-    CallKind, ChooseParams, Cost, DistanceCosts, Event, Policy, Router, RouterParams, Source,
-    TargetId, TargetLoad,
+    Action, AdmissionController, AdmissionEvent, AdmissionLimits, AnswerStatus, Budget,
+    CallAttributes, CallId, CallKind, Cost, DistanceCosts, Event, Policy, Router, RouterParams,
+    SelectionParams, TargetId, TargetLoad,
 };
 
 const FIGURES: TargetLoad = TargetLoad {
@@ -21,7 +21,7 @@
 
 fn router(policy: Policy, targets: u32) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy,
             ramp_us: 0,
             eject_failures: 5,
@@ -29,7 +29,7 @@
             prices: DistanceCosts::default(),
         },
         attempt_limit: 3,
-        further: lynxcleat_policy::RetryParams {
+        retry_budget: lynxcleat_policy::RetryParams {
             percent: 10,
             bound: None,
         },
@@ -47,7 +47,7 @@
     let arrived = Event::Arrived {
         call: CallId(*now),
         deadline: *now + 1_000_000,
-        effect: false,
+        has_effects: false,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -59,9 +59,9 @@
     };
     let answered = Event::Answered {
         attempt: *attempt,
-        source: Source::Served,
-        figures: Some(FIGURES),
-        there_us: 5_000,
+        status: AnswerStatus::Served,
+        load: Some(FIGURES),
+        remote_us: 5_000,
         work_us: None,
     };
     black_box(router.on(*now + 5_300, answered));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,7 +12,6 @@
 mod body_window;
 mod budget;
 mod call_origins;
-mod chooser;
 mod cold_start;
 mod concurrency_limit;
 mod distance;
@@ -36,6 +35,7 @@
 mod rollout;
 mod router;
 mod sample;
+mod selector;
 mod service_time;
 mod settings_pacer;
 mod settings_sources;
@@ -54,14 +54,14 @@
 pub use body_window::{BodyError, ReceiveWindow, SendWindow};
 pub use budget::{Budget, Cost, Limits};
 pub use call_origins::CallOrigins;
-pub use chooser::{ChooseParams, Chooser, Considered};
 pub use cold_start::{ColdStartLimiter, FirstReport};
 pub use concurrency_limit::ConcurrencyLimit;
 pub use distance::{Distance, DistanceCosts};
 pub use elsewhere::Elsewhere;
 pub use evacuation::{EvacuatedZones, ZoneUpdate};
 pub use event::{
-    Action, Event, NotRunReason, Refusal, RefusalReason, Settlement, Source, UnknownReason, Verdict,
+    Action, AnswerStatus, Event, NotRunReason, Refusal, RefusalReason, Settlement, UnknownReason,
+    Verdict,
 };
 pub use fair_budget::FairBudget;
 pub use fingerprint::{Fingerprint, ParseFingerprintError, RequestFingerprints};
@@ -92,6 +92,7 @@
 };
 pub use router::{Router, RouterCounts, RouterParams};
 pub use sample::{SampleRates, Sampler};
+pub use selector::{ScoredTarget, SelectionParams, TargetSelector};
 pub use service_time::{CallKind, ServiceTimeEstimate, ServiceTimes};
 pub use settings_pacer::SettingsPacer;
 pub use settings_sources::{NextSource, SettingsSource, SettingsSourceSelector};
@@ -99,6 +100,6 @@
 pub use slowness::{SlownessDistribution, SlownessReading, WeightedSlowness};
 pub use start_decision::{StartDecision, StartRequest, TargetConditions};
 pub use subset::{Candidate, Location, MIN_OTHER_REGION_TARGETS, subset};
-pub use target::{Health, TargetState, Usual};
+pub use target::{Health, ServiceAverages, TargetState};
 pub use target_load::TargetLoad;
 pub use utility::CallTiming;
--- a/crates/policy/src/rollout/routing.rs
+++ b/crates/policy/src/rollout/routing.rs
@@ -1,8 +1,8 @@
 //! How a router divides calls between its targets during a rollout.
 
 use super::exposure::{Exposure, RolloutTargets};
-use crate::chooser::{Chooser, Considered, Lane, Wanted};
 use crate::ids::{Micros, TargetId};
+use crate::selector::{ScoredTarget, SelectionRequest, TargetFilter, TargetSelector};
 
 /// How a rollout divides the targets, and the calls that this router offered to the new version.
 #[derive(Debug)]
@@ -13,10 +13,10 @@
 
 impl RolloutRouting {
     /// Targets for a call outside the canary share.
-    pub(crate) fn default_lane(&self) -> Lane {
+    pub(crate) fn default_lane(&self) -> TargetFilter {
         let mut skipped = self.targets.excluded.clone();
         skipped.extend(&self.targets.canaries);
-        Lane::Without(skipped)
+        TargetFilter::Excluding(skipped)
     }
 
     /// Chooses among the canary targets if the share allows and one is available, otherwise
@@ -24,26 +24,26 @@
     pub(crate) fn choose(
         &mut self,
         now: Micros,
-        wanted: Wanted<'_>,
-        chooser: &mut Chooser,
-        considered: &mut Vec<Considered>,
+        wanted: SelectionRequest<'_>,
+        chooser: &mut TargetSelector,
+        considered: &mut Vec<ScoredTarget>,
     ) -> Option<TargetId> {
         if self.exposure.may_offer(self.targets.share, wanted.kind) {
-            chooser.set_lane(Lane::Only(self.available_canaries(now, chooser)));
-            let chosen = chooser.choose(now, wanted, considered);
-            chooser.set_lane(self.default_lane());
+            chooser.set_filter(TargetFilter::Only(self.available_canaries(now, chooser)));
+            let chosen = chooser.select(now, wanted, considered);
+            chooser.set_filter(self.default_lane());
             if chosen.is_some() {
                 self.exposure.record_offered(wanted.kind);
                 return chosen;
             }
         }
-        chooser.choose(now, wanted, considered)
+        chooser.select(now, wanted, considered)
     }
 
-    fn available_canaries(&self, now: Micros, chooser: &Chooser) -> Vec<TargetId> {
+    fn available_canaries(&self, now: Micros, chooser: &TargetSelector) -> Vec<TargetId> {
         let is_available = |target: &TargetId| {
             let state = chooser.target(*target);
-            state.is_some_and(|state| state.available(now))
+            state.is_some_and(|state| state.is_available(now))
         };
         let canaries = self.targets.canaries.iter().copied();
         canaries
--- a/crates/policy/tests/goals/choice.rs
+++ b/crates/policy/tests/goals/choice.rs
@@ -1,15 +1,15 @@
 //! Selection of a target by a router.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, ChooseParams, Distance, Elsewhere, Event, Policy, RefusalReason,
-    Router, RouterParams, Source, TargetId, TargetLoad,
+    Action, AnswerStatus, AttemptId, CallId, Distance, Elsewhere, Event, Policy, RefusalReason,
+    Router, RouterParams, SelectionParams, TargetId, TargetLoad,
 };
 
 use super::{COSTS, FAR, KIND, MS, NEAR};
 
 fn params() -> RouterParams {
     RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::GoalChance,
             ramp_us: 0,
             eject_failures: 5,
@@ -17,7 +17,7 @@
             prices: COSTS,
         },
         attempt_limit: 2,
-        further: lynxcleat_policy::RetryParams {
+        retry_budget: lynxcleat_policy::RetryParams {
             percent: 20,
             bound: None,
         },
@@ -41,7 +41,7 @@
     let event = Event::Arrived {
         call: CallId(call),
         deadline: now + 1_000 * MS,
-        effect: false,
+        has_effects: false,
         may_retry: true,
         attempt_limit: None,
         goal: Some(now + goal),
@@ -64,17 +64,17 @@
 fn answered(attempt: AttemptId, work_ms: u32) -> Event {
     Event::Answered {
         attempt,
-        source: Source::Served,
-        figures: None,
-        there_us: work_ms * 1_000,
+        status: AnswerStatus::Served,
+        load: None,
+        remote_us: work_ms * 1_000,
         work_us: Some(work_ms * 1_000),
     }
 }
 
 fn load_report(target: TargetId, slowness_percent: u32, in_flight: u32) -> Event {
-    Event::FiguresSeen {
+    Event::LoadReported {
         target,
-        figures: TargetLoad {
+        load: TargetLoad {
             in_flight,
             held: 0,
             slots: 8,
@@ -162,7 +162,7 @@
                 reason: RefusalReason::TooLate,
                 retry_after_us: 1,
             },
-            figures: None,
+            load: None,
         };
         let (second, other) = single_send(&router.on(200 * MS, refused));
         assert_ne!(refusing, other);
@@ -192,7 +192,7 @@
                 reason: RefusalReason::Busy,
                 retry_after_us: 1,
             },
-            figures: None,
+            load: None,
         };
         actions = router.on(0, refused);
     }
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxcleat_policy::{
-    Action, CallId, CallKind, Candidate, ChooseParams, Distance, DistanceCosts, Elsewhere, Event,
-    Location, OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, Policy, RetryParams, Router,
-    RouterParams, SAME_ZONE_NEIGHBOURS, TargetId, TargetLoad, neighbours, subset,
+    Action, CallId, CallKind, Candidate, Distance, DistanceCosts, Elsewhere, Event, Location,
+    OTHER_REGION_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS, Policy, RetryParams, Router, RouterParams,
+    SAME_ZONE_NEIGHBOURS, SelectionParams, TargetId, TargetLoad, neighbours, subset,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -177,7 +177,7 @@
 
 fn router(seed: u64) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::GoalChance,
             ramp_us: 0,
             eject_failures: 5,
@@ -188,7 +188,7 @@
             },
         },
         attempt_limit: 2,
-        further: RetryParams {
+        retry_budget: RetryParams {
             percent: 100,
             bound: None,
         },
@@ -230,7 +230,13 @@
         service_us: 100 * MS as u32,
         ..TargetLoad::default()
     };
-    router.on(now, Event::FiguresSeen { target, figures });
+    router.on(
+        now,
+        Event::LoadReported {
+            target,
+            load: figures,
+        },
+    );
 }
 
 /// Sends a call with a goal of 300 ms. Returns its target and the alternatives left for it.
@@ -240,7 +246,7 @@
         Event::Arrived {
             call: CallId(call),
             deadline: now + 2_000 * MS,
-            effect: false,
+            has_effects: false,
             may_retry: true,
             attempt_limit: None,
             goal: Some(now + 300 * MS),
@@ -340,7 +346,7 @@
 fn a_call_that_may_not_leave_the_region_stays() {
     for seed in 0..20 {
         let mut router = router(seed);
-        router.set_reach(Distance::OwnRegion);
+        router.set_max_distance(Distance::OwnRegion);
         for (target, distance) in TARGETS {
             if distance < Distance::OwnRegion {
                 let linked = false;
@@ -350,7 +356,7 @@
         let (target, elsewhere) = send(&mut router, 0, 1);
         assert_eq!(distance_of(target), Distance::OwnRegion);
         assert_eq!(elsewhere, Elsewhere::Nowhere);
-        router.set_reach(Distance::OtherRegion);
+        router.set_max_distance(Distance::OtherRegion);
         let (_, elsewhere) = send(&mut router, 0, 2);
         assert_ne!(elsewhere, Elsewhere::Nowhere);
     }
--- a/crates/policy/tests/targets_down.rs
+++ b/crates/policy/tests/targets_down.rs
@@ -1,17 +1,18 @@
-//! Calls whose target is down go on to those that are up.
+//! Calls to a target that is down are offered to targets that are up.
 
 use lynxcleat_policy::{
-    Action, AttemptId, CallId, CallKind, ChooseParams, DistanceCosts, Event, Health, NotRunReason,
-    Policy, Refusal, RefusalReason, RetryParams, Router, RouterParams, Source, TargetId, Verdict,
+    Action, AnswerStatus, AttemptId, CallId, CallKind, DistanceCosts, Event, Health, NotRunReason,
+    Policy, Refusal, RefusalReason, RetryParams, Router, RouterParams, SelectionParams, TargetId,
+    Verdict,
 };
 
 const EJECT_US: u64 = 1_000_000;
 const DEADLINE: u64 = 60_000_000;
 
-/// A router whose calls have two attempts, none beyond the budget, and may not be moved.
+/// Creates a router with two attempts per call, no retry budget and no reroutes.
 fn router(targets: u32) -> Router {
     let params = RouterParams {
-        choose: ChooseParams {
+        selection: SelectionParams {
             policy: Policy::ExpectedFinish,
             ramp_us: 0,
             eject_failures: 3,
@@ -19,7 +20,7 @@
             prices: DistanceCosts::default(),
         },
         attempt_limit: 2,
-        further: RetryParams {
+        retry_budget: RetryParams {
             percent: 0,
             bound: None,
         },
@@ -35,7 +36,7 @@
     let event = Event::Arrived {
         call: CallId(call),
         deadline: DEADLINE,
-        effect: true,
+        has_effects: true,
         may_retry: true,
         attempt_limit: None,
         goal: None,
@@ -44,7 +45,7 @@
     router.on(now, event)
 }
 
-/// The attempt that is sent and where; nothing where the call ended.
+/// The attempt that is sent and its target, or `None` if the call ended.
 fn sent(actions: &[Action]) -> Option<(AttemptId, TargetId)> {
     match actions {
         [
@@ -63,11 +64,11 @@
             reason: RefusalReason::TargetDown,
             retry_after_us: 250_000,
         },
-        figures: None,
+        load: None,
     }
 }
 
-fn down(target: u32, down: bool) -> Event {
+fn target_down(target: u32, down: bool) -> Event {
     let target = TargetId(target);
     Event::TargetDown { target, down }
 }
@@ -75,35 +76,35 @@
 fn answered(attempt: AttemptId) -> Event {
     Event::Answered {
         attempt,
-        source: Source::Served,
-        figures: None,
-        there_us: 0,
+        status: AnswerStatus::Served,
+        load: None,
+        remote_us: 0,
         work_us: None,
     }
 }
 
 #[test]
-fn a_call_goes_on_until_a_target_is_up() {
+fn a_call_is_offered_until_a_target_is_up() {
     let mut router = router(6);
     let mut next = sent(&arrive(&mut router, 0, 1));
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     for _ in 0..5 {
         let (attempt, target) = next.expect("another target");
-        asked.push(target);
+        tried.push(target);
         next = sent(&router.on(0, refused(attempt)));
     }
-    let (attempt, target) = next.expect("the last one");
-    assert!(!asked.contains(&target), "no target twice");
+    let (attempt, target) = next.expect("the last target");
+    assert!(!tried.contains(&target), "no target is tried twice");
     let end = router.on(0, answered(attempt));
     assert!(matches!(end[..], [Action::Finish { .. }]), "{end:?}");
-    assert_eq!(router.counts().retries, 0, "none of the budget");
+    assert_eq!(router.counts().retries, 0, "the retry budget is not used");
 }
 
 #[test]
 fn a_call_is_refused_once_every_target_is_down() {
     let mut router = router(2);
     let (first, _) = sent(&arrive(&mut router, 0, 1)).expect("a target");
-    let (second, _) = sent(&router.on(0, refused(first))).expect("the other one");
+    let (second, _) = sent(&router.on(0, refused(first))).expect("the other target");
     let end = router.on(0, refused(second));
     let Some(Action::Finish { verdict, .. }) = end.last() else {
         panic!("{end:?}");
@@ -116,9 +117,9 @@
 }
 
 #[test]
-fn a_target_that_is_down_gets_no_call_until_it_is_back() {
+fn a_target_that_is_down_gets_no_call_until_it_is_up() {
     let mut router = router(2);
-    router.on(0, down(0, true));
+    router.on(0, target_down(0, true));
     let picks = |router: &mut Router, now, calls: std::ops::Range<u64>| -> Vec<TargetId> {
         let picked = calls.map(|call| {
             let (attempt, target) = sent(&arrive(router, now, call)).expect("a target");
@@ -129,29 +130,36 @@
     };
     let all = picks(&mut router, 0, 0..20);
     assert!(all.iter().all(|target| *target == TargetId(1)), "{all:?}");
-    router.on(1_000, down(0, false));
+    router.on(1_000, target_down(0, false));
     let all = picks(&mut router, 1_000, 20..40);
     assert!(all.contains(&TargetId(0)), "{all:?}");
 }
 
-/// Word that it is back may be lost: one call at a time finds out.
+/// The report that a target is up again may be lost, so one trial call at a time checks.
 #[test]
-fn a_target_that_stays_down_is_tried_by_one_call_at_a_time() {
+fn a_target_that_stays_down_gets_one_trial_call_at_a_time() {
     let mut router = router(1);
-    router.on(0, down(0, true));
+    router.on(0, target_down(0, true));
     assert_eq!(sent(&arrive(&mut router, EJECT_US - 1, 1)), None);
-    let (trial, _) = sent(&arrive(&mut router, EJECT_US, 2)).expect("a trial");
-    assert_eq!(sent(&arrive(&mut router, EJECT_US, 3)), None, "one trial");
+    let (trial, _) = sent(&arrive(&mut router, EJECT_US, 2)).expect("a trial call");
+    assert_eq!(
+        sent(&arrive(&mut router, EJECT_US, 3)),
+        None,
+        "one trial call at a time"
+    );
     assert_eq!(sent(&router.on(EJECT_US, refused(trial))), None);
     assert_eq!(sent(&arrive(&mut router, 2 * EJECT_US - 1, 4)), None);
-    let (trial, _) = sent(&arrive(&mut router, 2 * EJECT_US, 5)).expect("a trial");
+    let (trial, _) = sent(&arrive(&mut router, 2 * EJECT_US, 5)).expect("a trial call");
     router.on(2 * EJECT_US, answered(trial));
-    assert!(sent(&arrive(&mut router, 2 * EJECT_US, 6)).is_some(), "up");
+    assert!(
+        sent(&arrive(&mut router, 2 * EJECT_US, 6)).is_some(),
+        "target is up"
+    );
 }
 
-/// A process that is started again is not blamed for the one before it.
+/// The failures of a target's previous process do not count against the new one.
 #[test]
-fn a_target_that_is_back_is_ejected_no_more() {
+fn a_target_that_comes_up_is_no_longer_ejected() {
     let mut router = router(2);
     for call in 0..20 {
         let (attempt, target) = sent(&arrive(&mut router, 0, call)).expect("a target");
@@ -162,11 +170,11 @@
         router.on(0, end);
     }
     let health = |router: &Router| {
-        let state = router.chooser().target(TargetId(0));
-        state.expect("it is known").health()
+        let state = router.selector().target(TargetId(0));
+        state.expect("target is known").health()
     };
     assert!(matches!(health(&router), Health::Ejected { .. }));
-    router.on(0, down(0, true));
-    router.on(1_000, down(0, false));
+    router.on(0, target_down(0, true));
+    router.on(1_000, target_down(0, false));
     assert_eq!(health(&router), Health::Healthy);
 }
