--- a/crates/policy/src/call_origins.rs
+++ b/crates/policy/src/call_origins.rs
@@ -34,8 +34,8 @@
             Some(Origin::OneService(known)) if known == service => {}
             Some(origin) => *origin = Origin::SeveralServices,
             None if has_room => {
-                let origin = Origin::OneService(service.to_owned());
-                self.kinds.insert(kind, origin);
+                self.kinds
+                    .insert(kind, Origin::OneService(service.to_owned()));
             }
             None => {}
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -118,8 +118,10 @@
     /// that the bound holds wherever a window begins.
     pub fn take(&mut self, now: Micros) -> bool {
         let current = self.slice(now).number;
-        let completed = self.completed_slices(current);
-        let first_attempts: u64 = completed.map(|slice| slice.first_attempts).sum();
+        let first_attempts: u64 = self
+            .completed_slices(current)
+            .map(|slice| slice.first_attempts)
+            .sum();
         let retries: u64 = self.slices.iter().map(|slice| slice.retries).sum();
         let share = first_attempts * u64::from(self.percent) / 100;
         if retries >= share + u64::from(self.bound.reserve) {
--- a/crates/policy/src/rollout/phase.rs
+++ b/crates/policy/src/rollout/phase.rs
@@ -456,17 +456,6 @@
     pub fn mark_superseded(&mut self) {
         self.stored = true;
     }
-
-    /// Versions that get no calls during a later rollout to `next`: the excluded ones, and this
-    /// rollout's own version unless it was completed.
-    fn unfinished_versions(&self, next: &str) -> Vec<String> {
-        let mut versions: Vec<String> = self.excluded.iter().cloned().collect();
-        if self.phase != Phase::Done {
-            versions.push(self.version.clone());
-        }
-        versions.retain(|version| version != next);
-        versions
-    }
 }
 
 /// Which of two states of the same order wins when they are merged. The status row only tells
@@ -550,3 +539,16 @@
         self.services.values()
     }
 }
+
+impl Rollout {
+    /// Versions that get no calls during a later rollout to `next`: the excluded ones, and this
+    /// rollout's own version unless it was completed.
+    fn unfinished_versions(&self, next: &str) -> Vec<String> {
+        let mut versions: Vec<String> = self.excluded.iter().cloned().collect();
+        if self.phase != Phase::Done {
+            versions.push(self.version.clone());
+        }
+        versions.retain(|version| version != next);
+        versions
+    }
+}
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -333,10 +333,11 @@
         };
         // A call that a canary refuses or fails must have another target to go to.
         let may_be_canary = call.may_retry && call.tried.is_empty();
-        let scored = &mut self.scored_targets;
         let selected = match self.rollout.as_mut().filter(|_| may_be_canary) {
-            None => self.selector.select(now, request, scored),
-            Some(rollout) => rollout.choose(now, request, &mut self.selector, scored),
+            None => self.selector.select(now, request, &mut self.scored_targets),
+            Some(rollout) => {
+                rollout.choose(now, request, &mut self.selector, &mut self.scored_targets)
+            }
         };
         let Some(target) = selected else {
             return self.give_up(now, id);
--- a/crates/policy/src/start_decision.rs
+++ b/crates/policy/src/start_decision.rs
@@ -104,8 +104,8 @@
             Some(cost) => self.utility_rerouted(timing) - cost,
             None => 0.0,
         };
-        let baseline = self.slow_periods.baseline();
-        let if_known = rerouted.max(self.utility_after_slow_period(timing, baseline));
+        let if_known =
+            rerouted.max(self.utility_after_slow_period(timing, self.slow_periods.baseline()));
         let if_unknown = utility_at(timing, self.slow_periods.mean_slow_factor());
         slow_probability * (if_known - if_unknown).max(0.0)
     }
@@ -142,8 +142,10 @@
     /// Expected utility at a typical target of the service, which may defer the call too.
     fn utility_rerouted(&self, timing: &CallTiming) -> f64 {
         let timing = timing.after(REROUTE_US);
-        let least = self.service_slowness.min_factor();
-        let baseline = least.unwrap_or(self.slow_periods.baseline());
+        let baseline = self
+            .service_slowness
+            .min_factor()
+            .unwrap_or(self.slow_periods.baseline());
         let deferred = self.utility_after_slow_period(&timing, baseline);
         let weighted_utility = |slowness: WeightedSlowness| {
             let now = utility_at(&timing, slowness.factor);
@@ -153,8 +155,10 @@
             };
             slowness.probability * best
         };
-        let slowness = self.service_slowness.predict(self.now, None);
-        slowness.map(weighted_utility).sum()
+        self.service_slowness
+            .predict(self.now, None)
+            .map(weighted_utility)
+            .sum()
     }
 }
 
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -28,10 +28,6 @@
 const MAX_EJECT_FACTOR: u32 = 8;
 /// Factor by which a target counts as slower at the start of its ramp.
 const RAMP_START_FACTOR: f64 = 4.0;
-/// Fraction of a service time by which a target with all slots taken counts as slower than an
-/// idle one. It spreads calls over equal targets, so that routers with the same outdated load
-/// reports do not all select the same target.
-const LOAD_PENALTY: f64 = 0.5;
 
 /// Whether a target may be selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -341,8 +337,10 @@
     /// recent reports is not assumed to be idle.
     pub fn load(&self, now: Micros, averages: &ServiceAverages) -> f64 {
         let others = self.load.map_or(averages.others, |known| {
-            let half_life_us = LOAD_HALF_LIFE * averages.service_us;
-            let weight = decay(now - known.at.min(now), half_life_us);
+            let weight = decay(
+                now - known.at.min(now),
+                LOAD_HALF_LIFE * averages.service_us,
+            );
             averages.others + (known.others - averages.others) * weight
         });
         f64::from(self.outstanding) + others
@@ -363,8 +361,7 @@
         let wait = queued * service / slots;
         let penalty = service * (load / slots).min(1.0) * LOAD_PENALTY;
         let refused = self.refused_until.saturating_sub(now) as f64;
-        let ramp_factor = self.ramp_factor(now, ramp_us);
-        (self.path_us(now) + service + penalty + wait.max(refused)) * ramp_factor
+        (self.path_us(now) + service + penalty + wait.max(refused)) * self.ramp_factor(now, ramp_us)
     }
 
     /// Sets how far away it is.
@@ -405,6 +402,11 @@
     }
 }
 
+/// Fraction of a service time by which a target with all slots taken counts as slower than an
+/// idle one. It spreads calls over equal targets, so that routers with the same outdated load
+/// reports do not all select the same target.
+const LOAD_PENALTY: f64 = 0.5;
+
 /// Weight of a measurement of this age.
 fn decay(age_us: Micros, half_life_us: f64) -> f64 {
     (-(age_us as f64) / half_life_us).exp2()
--- a/crates/policy/src/utility.rs
+++ b/crates/policy/src/utility.rs
@@ -63,8 +63,8 @@
         let in_time =
             |remaining_us: f64| probability_within(remaining_us - finish_us, deviation_us);
         let late = in_time(timing.deadline_remaining_us) * LATE_UTILITY;
-        let within_goal = in_time(timing.goal_remaining_us) * (1.0 - LATE_UTILITY);
-        utility += slowness.probability * (within_goal + late);
+        utility += slowness.probability
+            * (in_time(timing.goal_remaining_us) * (1.0 - LATE_UTILITY) + late);
     }
     utility
 }
