--- a/crates/policy/src/selector.rs
+++ b/crates/policy/src/selector.rs
@@ -352,7 +352,7 @@
             .collect()
     }
 
-    /// Up to `update_counts` distinct eligible targets, in random order.
+    /// Up to `count` distinct eligible targets, in random order.
     fn sample(&mut self, now: Micros, excluded: &[TargetId], count: usize) -> Vec<TargetId> {
         if self.order.len() <= SAMPLE_DRAWS {
             return self.sample_exhaustively(now, excluded, count);
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -93,7 +93,7 @@
 }
 
 impl ServiceAverages {
-    /// Records a target's load report, of which `has_other_excluded` calls are not this router's.
+    /// Records a target's load report, of which `others` calls are not this router's.
     fn record_load(&mut self, load: TargetLoad, others: f64) {
         let update = |mean: &mut f64, sample: f64| *mean += AVERAGE_WEIGHT * (sample - *mean);
         update(&mut self.others, others);
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -509,7 +509,7 @@
 /// Time between two repetitions of a request, in microseconds.
 const REPEAT_INTERVAL_US: u64 = 1_000;
 
-/// Runs `update_counts` failing operations one after the other. `request_of` returns the fingerprint of
+/// Runs `count` failing operations one after the other. `request_of` returns the fingerprint of
 /// each by its number.
 fn fail_operations(router: &mut Router, count: u64, request_of: impl Fn(u64) -> Fingerprint) {
     for number in 0..count {
