--- a/crates/daemon/src/half/serve.rs
+++ b/crates/daemon/src/half/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use lynxcleat_once::{Admission, FenceReply, Operation, RefusedOnce};
+use lynxcleat_once::{Admission, FenceRefusal, FenceReply, Operation};
 use lynxcleat_policy::{
     AdmissionEvent, AttemptId, CallAttributes, CallId, Micros, Refusal, RefusalReason,
     RequestFingerprints, TargetExitId,
@@ -290,10 +290,10 @@
         ended
     }
 
-    fn refuse_once(&self, why: RefusedOnce, call: &CallFrame) -> Ended {
+    fn refuse_once(&self, why: FenceRefusal, call: &CallFrame) -> Ended {
         log::info!(call = call.call.as_str(), why:? = why; "operation refused");
         // It may have run for an earlier offer, so this is no "not run".
-        if why == RefusedOnce::Duplicate {
+        if why == FenceRefusal::Duplicate {
             return Ended::Lost(None);
         }
         refused(RefusalReason::Once, ONCE_RETRY_AFTER_US)
--- a/crates/daemon/src/once/claims.rs
+++ b/crates/daemon/src/once/claims.rs
@@ -61,7 +61,7 @@
     let (reply, replied) = flume::bounded(1);
     let wanted = Wanted {
         row_key: row_key.clone(),
-        ticket_text: core.once.key.seal(&own),
+        ticket_text: core.once.key.sign(&own),
         reply,
     };
     let queue = core.once.claims.queue.get().ok_or(ClaimError::Busy)?;
@@ -88,7 +88,7 @@
 ) -> Result<Ticket, ClaimError> {
     let row_key = claim_key(service, key);
     let own = core.once.mint();
-    let text = core.once.key.seal(&own);
+    let text = core.once.key.sign(&own);
     let txn = Txn {
         checks: vec![VersionCheck {
             key: row_key.clone(),
@@ -141,7 +141,7 @@
             reason: error.to_string(),
         })?;
     Ok(Claimed {
-        ticket: core.once.key.open(&claim.ticket)?,
+        ticket: core.once.key.verify(&claim.ticket)?,
         version: row.version,
     })
 }
--- a/crates/daemon/src/once/recover.rs
+++ b/crates/daemon/src/once/recover.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_once::{FenceReply, Outcome, Recovery, RecoveryStep, Ticket};
+use lynxcleat_once::{FenceReply, Outcome, Recovery, RecoveryStatus, Ticket};
 use lynxcleat_policy::Micros;
 use lynxcleat_store::{Put, Txn, UnsettledRow, unsettled_key};
 use lynxcleat_wire::Answer;
@@ -99,16 +99,16 @@
     replies: flume::Receiver<(String, FenceReply<Answer>)>,
 ) -> Outcome<Answer> {
     let until = core.clock.instant(call.call.deadline);
-    let mut step = recovery.step();
-    while step == RecoveryStep::Waiting {
+    let mut step = recovery.status();
+    while step == RecoveryStatus::Waiting {
         step = match tokio::time::timeout_at(until, replies.recv_async()).await {
             Ok(Ok((mesh, reply))) => recovery.replied(&mesh, reply),
-            _ => recovery.give_up(),
+            _ => recovery.timed_out(),
         };
     }
     match step {
-        RecoveryStep::Over(outcome) => outcome,
-        RecoveryStep::Waiting => Outcome::Unknown,
+        RecoveryStatus::Done(outcome) => outcome,
+        RecoveryStatus::Waiting => Outcome::Unknown,
     }
 }
 
@@ -119,7 +119,7 @@
         return;
     }
     let when_ms = core.clock.wall_ms();
-    let text = core.once.key.seal(ticket);
+    let text = core.once.key.sign(ticket);
     let operation = format!("{}-{:x}", ticket.op.incarnation, ticket.op.seq);
     let row = UnsettledRow {
         host: core.config.host.clone(),
--- a/crates/daemon/src/once/run.rs
+++ b/crates/daemon/src/once/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_once::{Begin, GuardRefusal, OpId, Outcome, Ticket};
+use lynxcleat_once::{BeginResult, GuardRefusal, OpId, Outcome, Ticket};
 use lynxcleat_policy::{AttemptId, Elsewhere, Micros, NotRunReason, RefusalReason};
 use lynxcleat_wire::{CallFrame, Frame, GuardedVerdict};
 
@@ -76,26 +76,26 @@
     let begin = {
         let mut waiting = lock(&core.once.waiting);
         let begin = lock(&core.once.guard).begin(core.clock.wall_ms(), &ticket);
-        if matches!(begin, Begin::Run | Begin::Running) {
+        if matches!(begin, BeginResult::Run | BeginResult::Running) {
             waiting.entry(ticket.op).or_default().push(sender);
         }
         begin
     };
     match begin {
-        Begin::Run => {
+        BeginResult::Run => {
             start(core, &ticket, &call);
             wait_for_end(core, &call, ended).await
         }
-        Begin::Running => wait_for_end(core, &call, ended).await,
-        Begin::Ran(kept) => OnceVerdict::Ran {
+        BeginResult::Running => wait_for_end(core, &call, ended).await,
+        BeginResult::Ran(kept) => OnceVerdict::Ran {
             answer: kept.answer,
             replayed: true,
         },
-        Begin::Unknown => recover::settle_own(core, &ticket, &call).await,
-        Begin::Refused(GuardRefusal::MemoryFull) => OnceVerdict::MemoryFull {
+        BeginResult::Unknown => recover::settle_own(core, &ticket, &call).await,
+        BeginResult::Refused(GuardRefusal::MemoryFull) => OnceVerdict::MemoryFull {
             retry_after_us: FULL_RETRY_AFTER_US,
         },
-        Begin::Refused(GuardRefusal::NotMine) => OnceVerdict::Unknown {
+        BeginResult::Refused(GuardRefusal::WrongIncarnation) => OnceVerdict::Unknown {
             retry_after_us: RUNNING_RETRY_AFTER_US,
         },
     }
--- a/crates/daemon/src/once/state.rs
+++ b/crates/daemon/src/once/state.rs
@@ -4,7 +4,8 @@
 use std::sync::{Arc, Mutex};
 
 use lynxcleat_once::{
-    Guard, GuardLimits, Incarnation, OpId, Operation, Roster, Ticket, TicketError, TicketKey,
+    Guard, GuardLimits, HostListHistory, Incarnation, OpId, Operation, Ticket, TicketError,
+    TicketKey,
 };
 use lynxcleat_policy::{Micros, NotRunReason};
 use lynxcleat_settings::Effective;
@@ -77,7 +78,7 @@
     pub(super) key: TicketKey,
     pub(super) guard: Mutex<Guard<Kept>>,
     pub(super) waiting: Mutex<HashMap<OpId, Vec<flume::Sender<OnceVerdict>>>>,
-    pub(super) roster: Mutex<Roster>,
+    pub(super) roster: Mutex<HostListHistory>,
     pub(super) claims: Claims,
     pub(super) reported: Mutex<HashSet<OpId>>,
     pub(super) settings: Mutex<Option<Arc<Effective>>>,
@@ -101,7 +102,7 @@
             key: ticket_key(shared_key),
             guard: Mutex::new(Guard::new(me, mesh, limits)),
             waiting: Mutex::default(),
-            roster: Mutex::new(Roster::new()),
+            roster: Mutex::new(HostListHistory::new()),
             claims: Claims::default(),
             reported: Mutex::default(),
             settings: Mutex::default(),
@@ -125,7 +126,7 @@
 
     /// Mints a ticket, as text.
     pub fn mint_text(&self) -> String {
-        self.key.seal(&self.mint())
+        self.key.sign(&self.mint())
     }
 
     /// Reads a ticket's text.
@@ -133,7 +134,7 @@
     /// # Errors
     /// A text that is no ticket of this deployment.
     pub fn open(&self, text: &str) -> Result<Ticket, TicketError> {
-        self.key.open(text)
+        self.key.verify(text)
     }
 
     /// Names a call with effects that carries neither ticket nor key, so that
@@ -143,18 +144,18 @@
         Operation {
             op: ticket.op,
             minted_ms: None,
-            keep_ms: left_us / 1_000 + PLAIN_KEEP_MS,
+            validity_ms: left_us / 1_000 + PLAIN_KEEP_MS,
         }
     }
 
     /// A target half of a service is gone or was replaced.
     pub fn half_gone(&self, service: &str) {
-        lock(&self.roster).gone(self.clock.wall_ms(), service);
+        lock(&self.roster).record_departure(self.clock.wall_ms(), service);
     }
 
     /// The whole host list was read; the reading began at `begun_ms`.
     pub fn hosts_listed(&self, begun_ms: u64) {
-        lock(&self.roster).listed(begun_ms);
+        lock(&self.roster).record_read(begun_ms);
     }
 
     /// Operations remembered as guard.
@@ -179,7 +180,7 @@
         Operation {
             op: ticket.op,
             minted_ms: Some(ticket.minted_ms),
-            keep_ms: self.retention_ms(),
+            validity_ms: self.retention_ms(),
         }
     }
 
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -1,9 +1,10 @@
-//! A target half's memory of the operations that it let through, and of those
-//! that must no longer run here.
+//! The record that a target's daemon keeps of the operations that it admitted, and
+//! of those that are fenced and must no longer run here.
 //!
-//! The memory is what makes recovery possible after a guard is lost: a half can
-//! say "never here, and now fenced", or give the answer. It speaks only for the
-//! time since it started, so it lets through no ticket minted before that.
+//! These records make recovery possible after a guard is lost: a target's daemon
+//! either confirms that the operation never ran and is now fenced, or returns its
+//! answer. The records cover only the time since the daemon started, so it admits
+//! no ticket that was minted earlier.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,83 +12,83 @@
 
 use crate::ticket::OpId;
 
-/// An operation with the time for which it can be admitted at all.
+/// An operation and the period in which it may be admitted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Operation {
-    /// The operation.
+    /// Identifier of the operation.
     #[serde(rename = "o")]
     pub op: OpId,
-    /// When its name was minted, in milliseconds since 1970; absent where only the
-    /// link that it comes on may ask about it, so that no clocks are compared.
+    /// When the identifier was minted, in milliseconds since 1970. Absent if only the
+    /// link that carries the operation may ask about it: no clocks are compared then.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub minted_ms: Option<u64>,
-    /// Time in milliseconds after minting for which it may run. A call whose
-    /// caller cannot repeat it needs to be remembered only briefly.
+    /// Time in milliseconds after minting during which it may run. A call that its
+    /// caller cannot repeat needs to be recorded only briefly.
     #[serde(rename = "k")]
-    pub keep_ms: u64,
+    pub validity_ms: u64,
 }
 
-/// Whether an operation may go on to the target.
+/// Whether an operation may be forwarded to the target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may; tell the fence how it goes on.
-    Pass,
-    /// It may not, and was not run because of this offer.
-    Refused(RefusedOnce),
+    /// It may. The caller reports its progress to the [`Fence`].
+    Admitted,
+    /// It may not, and this request did not run it.
+    Refused(FenceRefusal),
 }
 
-/// Why an operation may not go on.
+/// Why a [`Fence`] refuses an operation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RefusedOnce {
+pub enum FenceRefusal {
     /// It was fenced.
     Fenced,
-    /// It is here already, pending, delivered or ended.
+    /// It was admitted before: it is pending, delivered or has ended.
     Duplicate,
-    /// Its ticket was minted before this half started, or expired.
+    /// Its ticket has expired, or was minted before this daemon started.
     OutsideMemory,
-    /// The memory is full.
+    /// The limit on records or on stored answers is reached.
     MemoryFull,
 }
 
-/// What a half says of an operation when it is asked to fence it.
+/// What a target's daemon replies when it is asked to fence an operation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FenceReply<A> {
-    /// It never ran here and never will.
+    /// It never ran here, and never will.
     Never,
-    /// It never ran since this half started, which was after the ticket was
-    /// minted; it never will from now on.
+    /// It has not run since this daemon started, and never will. The daemon may have
+    /// started after the ticket was minted, so an earlier incarnation may have run it.
     NeverSinceStart,
     /// It ran, with this answer.
     Ran(A),
-    /// It was delivered and has not ended.
+    /// It was delivered to the target and has not ended.
     Running,
-    /// It was delivered and its answer was lost, or it could not be fenced.
+    /// It was delivered and its answer is not available, or it could not be fenced.
     Unknown,
 }
 
 impl<A> FenceReply<A> {
-    /// The same with another form of the answer.
-    pub fn map<B>(self, form: impl FnOnce(A) -> B) -> FenceReply<B> {
+    /// Converts the answer, if there is one.
+    pub fn map<B>(self, convert: impl FnOnce(A) -> B) -> FenceReply<B> {
         match self {
             FenceReply::Never => FenceReply::Never,
             FenceReply::NeverSinceStart => FenceReply::NeverSinceStart,
-            FenceReply::Ran(answer) => FenceReply::Ran(form(answer)),
+            FenceReply::Ran(answer) => FenceReply::Ran(convert(answer)),
             FenceReply::Running => FenceReply::Running,
             FenceReply::Unknown => FenceReply::Unknown,
         }
     }
 }
 
-/// Bounds of a half's memory.
+/// Limits of a [`Fence`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FenceLimits {
-    /// Time in milliseconds for which a ticket may be used.
+    /// Time in milliseconds for which a ticket is valid.
     pub retention_ms: u64,
-    /// Largest difference in milliseconds between two hosts' clocks.
+    /// Maximum difference in milliseconds between the clocks of two hosts.
     pub skew_ms: u64,
-    /// Operations kept at most.
+    /// Maximum number of recorded operations.
     pub entries: usize,
-    /// Bytes of stored answers kept at most.
+    /// Maximum total size of stored answers, in bytes.
     pub bytes: usize,
 }
 
@@ -96,7 +97,7 @@
     Pending,
     Delivered,
     Ran(A, usize),
-    Lost,
+    AnswerLost,
     Fenced,
 }
 
@@ -106,7 +107,7 @@
     state: State<A>,
 }
 
-/// The memory of one target half.
+/// The operations that one target's daemon admitted or fenced.
 #[derive(Debug)]
 pub struct Fence<A> {
     started_ms: u64,
@@ -117,7 +118,8 @@
 }
 
 impl<A: Clone> Fence<A> {
-    /// The memory of a half that starts at `started_ms` (since 1970).
+    /// Creates an empty record for a daemon that starts at `started_ms`, in milliseconds
+    /// since 1970.
     pub fn new(started_ms: u64, limits: FenceLimits) -> Self {
         Fence {
             started_ms,
@@ -128,32 +130,33 @@
         }
     }
 
-    /// Changes the bounds; entries over a new bound stay.
+    /// Changes the limits. Existing records stay, even above a new limit.
     pub fn set_limits(&mut self, limits: FenceLimits) {
         self.limits = limits;
     }
 
-    /// An operation arrived for the target.
+    /// Decides whether an operation that arrived for the target may run, and records it
+    /// as pending if so.
     pub fn admit(&mut self, now_ms: u64, operation: Operation) -> Admission {
         let op = operation.op;
-        self.expire(now_ms);
+        self.remove_expired(now_ms);
         match self.state(op) {
-            Some(State::Fenced) => return Admission::Refused(RefusedOnce::Fenced),
-            Some(_) => return Admission::Refused(RefusedOnce::Duplicate),
+            Some(State::Fenced) => return Admission::Refused(FenceRefusal::Fenced),
+            Some(_) => return Admission::Refused(FenceRefusal::Duplicate),
             None => {}
         }
         if !self.covers(operation.minted_ms) || self.is_expired(now_ms, operation) {
-            return Admission::Refused(RefusedOnce::OutsideMemory);
+            return Admission::Refused(FenceRefusal::OutsideMemory);
         }
         if self.is_full() {
-            return Admission::Refused(RefusedOnce::MemoryFull);
+            return Admission::Refused(FenceRefusal::MemoryFull);
         }
         self.insert(now_ms, operation, State::Pending);
-        Admission::Pass
+        Admission::Admitted
     }
 
-    /// A pending operation is being written to the target. False where it was
-    /// fenced meanwhile: then it must not be written.
+    /// Records that a pending operation is about to be written to the target. Returns
+    /// false if it was fenced in the meantime; it must not be written then.
     #[must_use]
     pub fn deliver(&mut self, op: OpId) -> bool {
         match self.state_mut(op) {
@@ -165,14 +168,14 @@
         }
     }
 
-    /// An operation was definitely not run; a new offer may run it.
+    /// Records that an operation definitely did not run. A later request may run it.
     pub fn not_run(&mut self, op: OpId) {
         if matches!(self.state(op), Some(State::Pending | State::Delivered)) {
-            self.forget(op);
+            self.remove(op);
         }
     }
 
-    /// The target answered; `size` is what the answer weighs in bytes.
+    /// Records the target's answer, which takes `size` bytes.
     pub fn ran(&mut self, op: OpId, answer: A, size: usize) {
         if let Some(state @ State::Delivered) = self.state_mut(op) {
             *state = State::Ran(answer, size);
@@ -180,34 +183,34 @@
         }
     }
 
-    /// The target's answer was lost.
+    /// Records that the target's answer was lost.
     pub fn lost(&mut self, op: OpId) {
         if let Some(state @ State::Delivered) = self.state_mut(op) {
-            *state = State::Lost;
+            *state = State::AnswerLost;
         }
     }
 
-    /// Forgets the answers that may not be kept any more. That their operations were
-    /// delivered is still known, so that none runs again.
+    /// Drops the answers that may no longer be stored. Their operations stay recorded as
+    /// delivered, so that none runs again.
     pub fn forget_answers(&mut self, mut may_keep: impl FnMut(&A) -> bool) {
         for record in self.ops.values_mut() {
             if let State::Ran(answer, size) = &record.state
                 && !may_keep(answer)
             {
                 self.bytes -= size;
-                record.state = State::Lost;
+                record.state = State::AnswerLost;
             }
         }
     }
 
-    /// Fences an operation and says what became of it here.
+    /// Fences an operation unless it was already delivered, and returns what is known of it.
     pub fn fence(&mut self, now_ms: u64, operation: Operation) -> FenceReply<A> {
         let Operation { op, minted_ms, .. } = operation;
-        self.expire(now_ms);
+        self.remove_expired(now_ms);
         match self.state_mut(op) {
             Some(State::Delivered) => return FenceReply::Running,
             Some(State::Ran(answer, _)) => return FenceReply::Ran(answer.clone()),
-            Some(State::Lost) => return FenceReply::Unknown,
+            Some(State::AnswerLost) => return FenceReply::Unknown,
             Some(State::Fenced) => return self.never(minted_ms),
             Some(state @ State::Pending) => {
                 *state = State::Fenced;
@@ -227,18 +230,18 @@
         self.never(minted_ms)
     }
 
-    /// Operations remembered.
+    /// Number of recorded operations.
     pub fn len(&self) -> usize {
         self.ops.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no operation is recorded.
     pub fn is_empty(&self) -> bool {
         self.ops.is_empty()
     }
 
-    /// Whether this half already ran when the ticket was minted, whatever the
-    /// two clocks say.
+    /// Whether this daemon was certainly running when the ticket was minted, given the
+    /// maximum clock skew between the two hosts.
     fn covers(&self, minted_ms: Option<u64>) -> bool {
         minted_ms.is_none_or(|minted_ms| minted_ms >= self.started_ms + self.limits.skew_ms)
     }
@@ -255,22 +258,22 @@
         self.ops.len() >= self.limits.entries || self.bytes >= self.limits.bytes
     }
 
-    fn keep_ms(&self, operation: Operation) -> u64 {
-        operation.keep_ms.min(self.limits.retention_ms)
+    fn validity_ms(&self, operation: Operation) -> u64 {
+        operation.validity_ms.min(self.limits.retention_ms)
     }
 
     fn is_expired(&self, now_ms: u64, operation: Operation) -> bool {
         operation
             .minted_ms
-            .is_some_and(|minted_ms| now_ms.saturating_sub(minted_ms) > self.keep_ms(operation))
+            .is_some_and(|minted_ms| now_ms.saturating_sub(minted_ms) > self.validity_ms(operation))
     }
 
-    /// Remembers the operation until no clock within the skew admits it.
+    /// Records the operation until no daemon whose clock is within the skew admits it.
     fn insert(&mut self, now_ms: u64, operation: Operation, state: State<A>) {
-        let keep_ms = self.keep_ms(operation);
+        let validity_ms = self.validity_ms(operation);
         let expiry_ms = match operation.minted_ms {
-            Some(minted_ms) => minted_ms + keep_ms + 2 * self.limits.skew_ms,
-            None => now_ms + keep_ms,
+            Some(minted_ms) => minted_ms + validity_ms + 2 * self.limits.skew_ms,
+            None => now_ms + validity_ms,
         };
         let record = Record { expiry_ms, state };
         self.ops.insert(operation.op, record);
@@ -285,7 +288,7 @@
         self.ops.get_mut(&op).map(|record| &mut record.state)
     }
 
-    fn forget(&mut self, op: OpId) {
+    fn remove(&mut self, op: OpId) {
         let Some(record) = self.ops.remove(&op) else {
             return;
         };
@@ -295,21 +298,22 @@
         }
     }
 
-    fn expire(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         while let Some((expiry_ms, op)) = self.by_expiry.first().copied() {
-            if expiry_ms >= now_ms || !self.forget_ended(op) {
+            if expiry_ms >= now_ms || !self.remove_if_ended(op) {
                 return;
             }
         }
     }
 
-    /// An operation that is still open keeps its entry, and so do those that
-    /// expire after it; the next call tries again.
-    fn forget_ended(&mut self, op: OpId) -> bool {
-        let open = matches!(self.state(op), Some(State::Pending | State::Delivered));
-        if !open {
-            self.forget(op);
+    /// Removes an operation unless it is in progress, and returns whether it did. An
+    /// operation in progress also delays the removal of those that expire after it, until
+    /// a later call.
+    fn remove_if_ended(&mut self, op: OpId) -> bool {
+        let in_progress = matches!(self.state(op), Some(State::Pending | State::Delivered));
+        if !in_progress {
+            self.remove(op);
         }
-        !open
+        !in_progress
     }
 }
--- a/crates/once/src/guard.rs
+++ b/crates/once/src/guard.rs
@@ -1,57 +1,56 @@
-//! The guard: one daemon's memory of the operations that it alone may run.
+//! The guard: one daemon incarnation's record of the operations that only it may run.
 //!
-//! A record is made before the call is sent on, and kept until no ticket for it
-//! can be accepted any more. When the memory is full, new operations are
-//! refused; nothing is forgotten early. `A` is whatever the shell stores as an
-//! answer.
+//! An operation is recorded before its call is forwarded, and stays recorded until no
+//! ticket for it can be accepted any more. When the limits are reached, new operations
+//! are refused; no record is removed early. `A` is the type of a stored answer.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::ticket::{Incarnation, OpId, Ticket};
 
-/// What became of an operation.
+/// The outcome of an operation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome<A> {
     /// It ran, with this answer.
     Ran(A),
-    /// It did not run; a new try with the same ticket may run it.
+    /// It did not run. A retry with the same ticket may run it.
     NotRun,
-    /// It may have run; it will not be sent again.
+    /// It may have run, so it will not be sent again.
     Unknown,
 }
 
-/// What to do with a call that carries a ticket.
+/// How to handle a call that carries a ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Begin<A> {
-    /// First use: run it, then tell [`Guard::finished`].
+pub enum BeginResult<A> {
+    /// First use of the ticket: run the operation, then call [`Guard::finished`].
     Run,
-    /// It runs now; the shell waits for its end.
+    /// It is running; the caller waits until it ends.
     Running,
-    /// It ran; this is its answer.
+    /// It ran, with this answer.
     Ran(A),
-    /// Its outcome is not known.
+    /// Its outcome is unknown.
     Unknown,
-    /// It was not run.
+    /// This call did not run it.
     Refused(GuardRefusal),
 }
 
-/// Why a guard does not run an operation.
+/// Why a [`Guard`] refuses an operation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GuardRefusal {
     /// Another incarnation minted the ticket.
-    NotMine,
-    /// The memory is full; come back when records have expired.
+    WrongIncarnation,
+    /// The limit on records or on stored answers is reached; retry after records have expired.
     MemoryFull,
 }
 
-/// Bounds of a guard's memory.
+/// Limits of a [`Guard`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct GuardLimits {
-    /// Time in milliseconds for which a ticket may be used.
+    /// Time in milliseconds for which a ticket is valid.
     pub retention_ms: u64,
-    /// Records kept at most.
+    /// Maximum number of records.
     pub entries: usize,
-    /// Bytes of stored answers kept at most.
+    /// Maximum total size of stored answers, in bytes.
     pub bytes: usize,
 }
 
@@ -68,68 +67,68 @@
     state: State<A>,
 }
 
-/// The records of one daemon's incarnation.
+/// The operations of one daemon incarnation.
 #[derive(Debug)]
 pub struct Guard<A> {
-    me: Incarnation,
+    incarnation: Incarnation,
     address: String,
     limits: GuardLimits,
-    next_seq: u64,
+    last_seq: u64,
     records: HashMap<OpId, Record<A>>,
     by_age: BTreeSet<(u64, OpId)>,
     bytes: usize,
 }
 
 impl<A: Clone> Guard<A> {
-    /// A guard with no records; `address` is its mesh address.
-    pub fn new(me: Incarnation, address: String, limits: GuardLimits) -> Self {
+    /// Creates a guard with no records; `address` is its mesh address.
+    pub fn new(incarnation: Incarnation, address: String, limits: GuardLimits) -> Self {
         Guard {
-            me,
+            incarnation,
             address,
             limits,
-            next_seq: 0,
+            last_seq: 0,
             records: HashMap::new(),
             by_age: BTreeSet::new(),
             bytes: 0,
         }
     }
 
-    /// Changes the bounds; records over a new bound stay.
+    /// Changes the limits. Existing records stay, even above a new limit.
     pub fn set_limits(&mut self, limits: GuardLimits) {
         self.limits = limits;
     }
 
-    /// Mints a ticket. Costs no memory until the ticket is used.
+    /// Mints a ticket. Nothing is recorded until the ticket is used.
     pub fn mint(&mut self, now_ms: u64) -> Ticket {
-        self.next_seq += 1;
+        self.last_seq += 1;
         Ticket {
             op: OpId {
-                incarnation: self.me,
-                seq: self.next_seq,
+                incarnation: self.incarnation,
+                seq: self.last_seq,
             },
             minted_ms: now_ms,
             guard: self.address.clone(),
         }
     }
 
-    /// A call with this ticket arrived, here or passed on by another daemon.
-    pub fn begin(&mut self, now_ms: u64, ticket: &Ticket) -> Begin<A> {
-        self.expire(now_ms);
-        if ticket.op.incarnation != self.me {
-            return Begin::Refused(GuardRefusal::NotMine);
+    /// Handles a call with this ticket, received from a caller or forwarded by another daemon.
+    pub fn begin(&mut self, now_ms: u64, ticket: &Ticket) -> BeginResult<A> {
+        self.remove_expired(now_ms);
+        if ticket.op.incarnation != self.incarnation {
+            return BeginResult::Refused(GuardRefusal::WrongIncarnation);
         }
         if let Some(record) = self.records.get(&ticket.op) {
             return match &record.state {
-                State::Running => Begin::Running,
-                State::Ran(answer, _) => Begin::Ran(answer.clone()),
-                State::Unknown => Begin::Unknown,
+                State::Running => BeginResult::Running,
+                State::Ran(answer, _) => BeginResult::Ran(answer.clone()),
+                State::Unknown => BeginResult::Unknown,
             };
         }
         if self.is_expired(now_ms, ticket.minted_ms) {
-            return Begin::Unknown;
+            return BeginResult::Unknown;
         }
         if self.records.len() >= self.limits.entries || self.bytes >= self.limits.bytes {
-            return Begin::Refused(GuardRefusal::MemoryFull);
+            return BeginResult::Refused(GuardRefusal::MemoryFull);
         }
         let record = Record {
             minted_ms: ticket.minted_ms,
@@ -137,25 +136,25 @@
         };
         self.records.insert(ticket.op, record);
         self.by_age.insert((ticket.minted_ms, ticket.op));
-        Begin::Run
+        BeginResult::Run
     }
 
-    /// The run of an operation ended. `size` is what its answer weighs in bytes.
+    /// Records the outcome of a running operation, whose answer takes `size` bytes.
     pub fn finished(&mut self, op: OpId, outcome: Outcome<A>, size: usize) {
         match outcome {
             Outcome::Ran(answer) => {
-                if self.set(op, State::Ran(answer, size)) {
+                if self.set_state(op, State::Ran(answer, size)) {
                     self.bytes += size;
                 }
             }
             Outcome::Unknown => {
-                self.set(op, State::Unknown);
+                self.set_state(op, State::Unknown);
             }
-            Outcome::NotRun => self.forget(op),
+            Outcome::NotRun => self.remove(op),
         }
     }
 
-    /// An operation whose outcome was unknown has been settled after all.
+    /// Records an outcome that was found later for an operation whose outcome was unknown.
     pub fn settled(&mut self, op: OpId, outcome: Outcome<A>, size: usize) {
         let state = self.records.get(&op).map(|record| &record.state);
         if matches!(state, Some(State::Unknown)) {
@@ -163,8 +162,8 @@
         }
     }
 
-    /// Forgets the answers that may not be kept any more. That their operations ran is
-    /// still known, so that none runs again.
+    /// Drops the answers that may no longer be stored. Their operations stay recorded with
+    /// an unknown outcome, so that none runs again.
     pub fn forget_answers(&mut self, mut may_keep: impl FnMut(&A) -> bool) {
         for record in self.records.values_mut() {
             if let State::Ran(answer, size) = &record.state
@@ -176,12 +175,12 @@
         }
     }
 
-    /// Records kept.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is kept.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -190,18 +189,18 @@
         now_ms.saturating_sub(minted_ms) > self.limits.retention_ms
     }
 
-    /// Forgets records whose tickets are refused from now on anyway.
-    fn expire(&mut self, now_ms: u64) {
+    /// Removes the records of expired tickets, which [`Guard::begin`] no longer runs.
+    fn remove_expired(&mut self, now_ms: u64) {
         while let Some((minted_ms, op)) = self.by_age.first().copied() {
             let state = self.records.get(&op).map(|record| &record.state);
             if matches!(state, Some(State::Running)) || !self.is_expired(now_ms, minted_ms) {
                 return;
             }
-            self.forget(op);
+            self.remove(op);
         }
     }
 
-    fn set(&mut self, op: OpId, state: State<A>) -> bool {
+    fn set_state(&mut self, op: OpId, state: State<A>) -> bool {
         let Some(record) = self.records.get_mut(&op) else {
             return false;
         };
@@ -209,7 +208,7 @@
         true
     }
 
-    fn forget(&mut self, op: OpId) {
+    fn remove(&mut self, op: OpId) {
         let Some(record) = self.records.remove(&op) else {
             return;
         };
--- a/crates/once/src/recovery.rs
+++ b/crates/once/src/recovery.rs
@@ -1,81 +1,81 @@
-//! Finding out what became of an operation whose guard is gone.
+//! Recovery of the outcome of an operation whose guard was lost.
 //!
-//! Every target half of the service is asked to fence it. One that ran it gives
-//! its answer. Only if all were reached, all say "never here", and the asker
-//! knows that these are all, was it not run.
+//! The daemon of every target of the service is asked to fence the operation. One that
+//! ran it returns its answer. The operation counts as not run only if all of them were
+//! reached, all reply [`FenceReply::Never`], and no other target could have run it.
 
 use std::collections::HashSet;
 
 use crate::fence::FenceReply;
 use crate::guard::Outcome;
 
-/// Where a recovery stands.
+/// Progress of a recovery.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum RecoveryStep<A> {
-    /// Replies are missing.
+pub enum RecoveryStatus<A> {
+    /// Some replies are outstanding.
     Waiting,
-    /// It is over.
-    Over(Outcome<A>),
+    /// It ended with this outcome.
+    Done(Outcome<A>),
 }
 
-/// One recovery; `H` names a half.
+/// The recovery of one operation; `T` identifies a target's daemon.
 #[derive(Debug)]
-pub struct Recovery<H> {
-    missing: HashSet<H>,
-    all_known: bool,
-    doubt: bool,
+pub struct Recovery<T> {
+    outstanding: HashSet<T>,
+    targets_complete: bool,
+    inconclusive: bool,
 }
 
-impl<H: Eq + std::hash::Hash> Recovery<H> {
-    /// A recovery that asks `halves`. `all_known` says whether these are all
-    /// that were alive since the ticket was minted.
-    pub fn new(halves: impl IntoIterator<Item = H>, all_known: bool) -> Self {
+impl<T: Eq + std::hash::Hash> Recovery<T> {
+    /// Creates a recovery that asks `targets`. `targets_complete` states whether these
+    /// include every target that was alive at any time since the ticket was minted.
+    pub fn new(targets: impl IntoIterator<Item = T>, targets_complete: bool) -> Self {
         Recovery {
-            missing: halves.into_iter().collect(),
-            all_known,
-            doubt: false,
+            outstanding: targets.into_iter().collect(),
+            targets_complete,
+            inconclusive: false,
         }
     }
 
-    /// Where it stands before any further reply.
-    pub fn step<A>(&self) -> RecoveryStep<A> {
-        if !self.missing.is_empty() {
-            return RecoveryStep::Waiting;
+    /// Returns the outcome once no reply is outstanding.
+    pub fn status<A>(&self) -> RecoveryStatus<A> {
+        if !self.outstanding.is_empty() {
+            return RecoveryStatus::Waiting;
         }
-        let outcome = if self.all_known && !self.doubt {
+        let outcome = if self.targets_complete && !self.inconclusive {
             Outcome::NotRun
         } else {
             Outcome::Unknown
         };
-        RecoveryStep::Over(outcome)
+        RecoveryStatus::Done(outcome)
     }
 
-    /// A half replied. A reply that was not waited for counts for nothing,
-    /// unless it is an answer.
-    pub fn replied<A>(&mut self, half: &H, reply: FenceReply<A>) -> RecoveryStep<A> {
-        let waited = self.missing.remove(half);
+    /// Records a reply. A reply that is not outstanding is ignored, unless it carries
+    /// the operation's answer.
+    pub fn replied<A>(&mut self, target: &T, reply: FenceReply<A>) -> RecoveryStatus<A> {
+        let was_outstanding = self.outstanding.remove(target);
         match reply {
-            FenceReply::Ran(answer) => return RecoveryStep::Over(Outcome::Ran(answer)),
+            FenceReply::Ran(answer) => return RecoveryStatus::Done(Outcome::Ran(answer)),
             FenceReply::Never => {}
             FenceReply::NeverSinceStart | FenceReply::Running | FenceReply::Unknown => {
-                self.doubt |= waited;
+                self.inconclusive |= was_outstanding;
             }
         }
-        self.step()
+        self.status()
     }
 
-    /// A half cannot be reached.
-    pub fn unreachable<A>(&mut self, half: &H) -> RecoveryStep<A> {
-        if self.missing.remove(half) {
-            self.doubt = true;
+    /// Records that a target's daemon cannot be reached.
+    pub fn unreachable<A>(&mut self, target: &T) -> RecoveryStatus<A> {
+        if self.outstanding.remove(target) {
+            self.inconclusive = true;
         }
-        self.step()
+        self.status()
     }
 
-    /// The time for the recovery is over.
-    pub fn give_up<A>(&mut self) -> RecoveryStep<A> {
-        self.doubt |= !self.missing.is_empty();
-        self.missing.clear();
-        self.step()
+    /// Ends the recovery at its deadline, without the outstanding replies.
+    pub fn timed_out<A>(&mut self) -> RecoveryStatus<A> {
+        self.inconclusive |= !self.outstanding.is_empty();
+        self.outstanding.clear();
+        self.status()
     }
 }
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Names of operations, and the tickets that carry them to callers and back.
+//! Identifiers of operations, and the tickets that carry them to callers and back.
 //!
-//! A ticket is signed, so a caller can neither invent one nor move it to
-//! another guard. It is no secret: whoever holds it may ask for its outcome.
+//! A ticket is signed, so a caller can neither forge one nor redirect it to another
+//! guard. It is not secret, and anyone who holds it may ask for the operation's outcome.
 
 use std::fmt;
 
@@ -12,9 +12,9 @@
 
 const VERSION: &str = "t1";
 const MAC_BYTES: usize = 12;
-const TEXT_LIMIT: usize = 256;
+const MAX_TEXT_BYTES: usize = 256;
 
-/// One run of a daemon. Chosen at random when it starts, never used again.
+/// Identifies one run of a daemon. Chosen at random when it starts, and never reused.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -26,81 +26,83 @@
     }
 }
 
-/// One operation: the incarnation that minted its ticket, and a number in it.
+/// Identifies an operation: the incarnation that minted its ticket, and a sequence number.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct OpId {
-    /// The guard.
+    /// Incarnation of the guard.
     pub incarnation: Incarnation,
-    /// Number within the guard's incarnation.
+    /// Sequence number, unique within the incarnation.
     pub seq: u64,
 }
 
-/// The right to run one operation once.
+/// Permission to run one operation at most once.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Ticket {
-    /// The operation.
+    /// Identifier of the operation.
     pub op: OpId,
-    /// The guard's clock when it minted the ticket, in milliseconds since 1970.
+    /// When the ticket was minted, by the guard's clock, in milliseconds since 1970.
     pub minted_ms: u64,
     /// Mesh address of the guard.
     pub guard: String,
 }
 
-/// Why a text is not a ticket of this deployment.
+/// Why a text is not a valid ticket of this deployment.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum TicketError {
-    /// It does not have the parts of a ticket.
-    #[error("not a ticket")]
+    /// It does not have the format of a ticket.
+    #[error("malformed ticket")]
     Malformed,
     /// Its signature does not match.
-    #[error("the ticket was not minted here or was altered")]
+    #[error("ticket signature mismatch: it was altered or signed with another key")]
     BadSignature,
 }
 
-/// The key under which tickets are signed.
+/// The key with which tickets are signed.
 #[derive(Clone)]
 pub struct TicketKey(Hmac<Sha256>);
 
 impl TicketKey {
-    /// A key from the deployment's shared secret.
+    /// Derives the key from the deployment's shared secret.
     pub fn new(secret: &[u8]) -> Self {
-        let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes any key length");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(secret).expect("HMAC accepts keys of any length");
         mac.update(b"lynxcleat ticket");
         TicketKey(mac)
     }
 
-    /// The text of a ticket, for a header.
-    pub fn seal(&self, ticket: &Ticket) -> String {
+    /// Encodes and signs a ticket, as text for a header.
+    pub fn sign(&self, ticket: &Ticket) -> String {
         let body = body(ticket);
-        format!("{VERSION}.{}.{body}", self.sign(&body))
+        format!("{VERSION}.{}.{body}", self.signature(&body))
     }
 
-    /// Reads a ticket's text and checks its signature.
+    /// Decodes a ticket and verifies its signature.
     ///
     /// # Errors
-    /// A text that is no ticket, or one not signed under this key.
-    pub fn open(&self, text: &str) -> Result<Ticket, TicketError> {
-        if text.len() > TEXT_LIMIT {
+    /// The text is not a ticket, or not one signed with this key.
+    pub fn verify(&self, text: &str) -> Result<Ticket, TicketError> {
+        if text.len() > MAX_TEXT_BYTES {
             return Err(TicketError::Malformed);
         }
         let mut parts = text.splitn(3, '.');
-        let (version, sign, rest) = (parts.next(), parts.next(), parts.next());
-        let (Some(VERSION), Some(sign), Some(rest)) = (version, sign, rest) else {
+        let (version, signature, body_text) = (parts.next(), parts.next(), parts.next());
+        let (Some(VERSION), Some(signature), Some(body_text)) = (version, signature, body_text)
+        else {
             return Err(TicketError::Malformed);
         };
-        let ticket = parse_body(rest).ok_or(TicketError::Malformed)?;
-        let claimed = hex::decode(sign).map_err(|_| TicketError::Malformed)?;
+        let ticket = parse_body(body_text).ok_or(TicketError::Malformed)?;
+        let signature = hex::decode(signature).map_err(|_| TicketError::Malformed)?;
         let mut mac = self.0.clone();
         mac.update(body(&ticket).as_bytes());
-        if claimed.len() != MAC_BYTES {
+        if signature.len() != MAC_BYTES {
             return Err(TicketError::BadSignature);
         }
-        mac.verify_truncated_left(&claimed)
+        mac.verify_truncated_left(&signature)
             .map_err(|_| TicketError::BadSignature)?;
         Ok(ticket)
     }
 
-    fn sign(&self, body: &str) -> String {
+    fn signature(&self, body: &str) -> String {
         let mut mac = self.0.clone();
         mac.update(body.as_bytes());
         hex::encode(&mac.finalize().into_bytes()[..MAC_BYTES])
