--- a/crates/cli/src/accept.rs
+++ b/crates/cli/src/accept.rs
@@ -29,7 +29,7 @@
         note: args.note.clone(),
         change_id: change_id.clone(),
         when_ms: now_ms(),
-        settle: SETTLE,
+        outcome_timeout: SETTLE,
     };
     let accepted = accept(&platform, &request)?;
     for change in &accepted.changes {
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -107,7 +107,7 @@
         note: "first tree of an embedded run".to_owned(),
         change_id: new_change_id(),
         when_ms: now_ms(),
-        settle: DEADLINE,
+        outcome_timeout: DEADLINE,
     };
     let accepted = tokio::task::spawn_blocking(move || accept(&client, &request)).await;
     accepted.map_err(std::io::Error::from)??;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -297,7 +297,7 @@
     let target_reports = environment.directory.is_some();
     let platform = Platform::builder(config.platform.clone())
         .timeout_s(PLATFORM_LIMIT_S)
-        .tries(PLATFORM_TRIES)
+        .max_attempts(PLATFORM_TRIES)
         .build();
     Core {
         settings: SettingsState::new(&config.place, &config.service),
--- a/crates/daemon/src/directory/follow.rs
+++ b/crates/daemon/src/directory/follow.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use lynxcleat_store::{
-    Answering, Ask, Duty, Follower, RowStoreError, RowVersion, RowsAt, StoredRow,
+    FeedRequest, FeedRole, Follower, ResponseProgress, RowStoreError, RowVersion, StoredRow,
+    VersionedRows,
 };
 use rand::RngExt;
 use tokio::sync::watch;
@@ -124,7 +125,7 @@
         spread::heard(&core, directory, core.clock.now(), before);
         if has_news {
             let is_watcher = directory.watches_settings(&core);
-            let pause = lock(feed.follower).gather(begun.elapsed(), is_watcher);
+            let pause = lock(feed.follower).batch_pause(begun.elapsed(), is_watcher);
             tokio::time::sleep(pause).await;
         }
     }
@@ -211,13 +212,13 @@
         let mut listened = false;
         loop {
             match self.directory.duty(self.core, self.watch) {
-                Duty::Follow { wait } => {
+                FeedRole::Follow { wait } => {
                     if listened {
                         self.step_in();
                     }
                     return wait;
                 }
-                Duty::Listen(left) => {
+                FeedRole::Listen(left) => {
                     listened = true;
                     tokio::select! {
                         () = tokio::time::sleep(left.min(DUTY_PAUSE)) => {}
@@ -232,7 +233,7 @@
     fn is_unknown(&self) -> bool {
         match self.names.feed {
             "settings" => self.core.settings.current().is_none(),
-            _ => !lock(self.follower).has_read(),
+            _ => !lock(self.follower).has_snapshot(),
         }
     }
 
@@ -266,18 +267,18 @@
 
     async fn call(&mut self, wait: Option<Duration>) -> Result<Vec<StoredRow>, FeedError> {
         let store = &self.directory.directory.store;
-        let ask = lock(self.follower).ask();
+        let ask = lock(self.follower).next_request();
         match ask {
-            Ask::Read => {
+            FeedRequest::Read => {
                 count(&self.core.metrics.store_calls, self.names.read);
                 let table = store.read(self.table).await?;
-                Ok(lock(self.follower).read(table))
+                Ok(lock(self.follower).apply_snapshot(table))
             }
-            Ask::Changes { after } => {
+            FeedRequest::Changes { after } => {
                 count(&self.core.metrics.store_calls, self.names.wait);
                 let wait = self.wait(wait);
                 let changes = self.await_changes(after, wait).await?;
-                Ok(lock(self.follower).changed(changes))
+                Ok(lock(self.follower).apply_changes(changes))
             }
         }
     }
@@ -287,15 +288,15 @@
         &mut self,
         after: RowVersion,
         wait: Duration,
-    ) -> Result<RowsAt, FeedError> {
-        let answering = Answering::default();
+    ) -> Result<VersionedRows, FeedError> {
+        let answering = ResponseProgress::default();
         let store = &self.directory.directory.store;
         let mut changes = store.changes(self.table, after, wait, &answering);
         loop {
             tokio::select! {
                 changes = &mut changes => return Ok(changes?),
                 _ = self.doubted.changed() => {
-                    if !answering.has_begun() {
+                    if !answering.has_started() {
                         return Err(FeedError::Doubted);
                     }
                 }
@@ -304,7 +305,7 @@
     }
 
     fn wait(&mut self, usual: Option<Duration>) -> Duration {
-        let wait = lock(self.follower).wait(usual);
+        let wait = lock(self.follower).next_wait(usual);
         match std::mem::replace(&mut self.asked, true) {
             true => wait,
             false => wait.mul_f64(rand::rng().random_range(0.1..1.0)),
@@ -319,7 +320,7 @@
             self.directory.doubt_feeds();
             self.heed_only_others(error);
         }
-        let pause = lock(self.follower).failed(error);
+        let pause = lock(self.follower).record_failure(error);
         let jitter = rand::rng().random_range(0.75..1.25);
         tokio::time::sleep(pause.mul_f64(jitter)).await;
     }
--- a/crates/daemon/src/directory/member.rs
+++ b/crates/daemon/src/directory/member.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use lynxcleat_policy::{ReportEffect, ReportedState, TargetReports};
-use lynxcleat_store::{HostEntry, HostState, OwnRow, StoredRow};
+use lynxcleat_store::{HostEntry, HostState, OwnedRow, StoredRow};
 use serde::{Deserialize, Serialize};
 
 use super::confirm;
@@ -29,8 +29,8 @@
 }
 
 /// The row of this daemon, of which nothing is known yet.
-pub(super) fn own_row(core: &Core) -> OwnRow {
-    OwnRow::new(TABLE, &format!("{MEMBER}{}", core.config.host))
+pub(super) fn own_row(core: &Core) -> OwnedRow {
+    OwnedRow::new(TABLE, &format!("{MEMBER}{}", core.config.host))
 }
 
 /// Asks for what the target reported last to stand in this daemon's row.
@@ -43,7 +43,7 @@
     };
     let value = serde_json::to_vec(&member).expect("a member encodes");
     let mut own = lock(&directory.own);
-    own.get_or_insert_with(|| own_row(core)).want(value);
+    own.get_or_insert_with(|| own_row(core)).set_desired(value);
     drop(own);
     directory.wanted.notify_one();
 }
@@ -95,7 +95,10 @@
 fn put_entries(core: &Arc<Core>, directory: &DirectoryState, news: &[StoredRow]) -> Vec<String> {
     let members = lock(&directory.members);
     let mut entries = Vec::new();
-    for row in news.iter().filter_map(|row| members.copy().row(&row.key)) {
+    for row in news
+        .iter()
+        .filter_map(|row| members.replica().row(&row.key))
+    {
         let Some(host) = row.key.strip_prefix(MEMBER) else {
             continue;
         };
@@ -164,7 +167,7 @@
 /// An earlier run of this daemon may have left word that its target ended.
 fn take_own(core: &Arc<Core>, directory: &DirectoryState, row: &StoredRow) {
     let mut own = lock(&directory.own);
-    own.get_or_insert_with(|| own_row(core)).seen(row);
+    own.get_or_insert_with(|| own_row(core)).observe(row);
     drop(own);
     directory.settled.notify_waiters();
     let Some(member) = row
--- a/crates/daemon/src/directory/mod.rs
+++ b/crates/daemon/src/directory/mod.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use lynxcleat_policy::{ReportEffect, TargetReport};
-use lynxcleat_store::{Duty, OwnRow, Standing, duty};
+use lynxcleat_store::{FeedRole, MemberStatus, OwnedRow, feed_role};
 
 use crate::control;
 use crate::core::Core;
@@ -44,9 +44,9 @@
 impl DirectoryState {
     /// What this daemon does next about a table; `watch` is the time between two looks of a
     /// watcher.
-    fn duty(&self, core: &Core, watch: Duration) -> Duty {
-        duty(
-            Standing {
+    fn duty(&self, core: &Core, watch: Duration) -> FeedRole {
+        feed_role(
+            MemberStatus {
                 rank: core.hosts.rank(&core.config.host),
                 has_peers: self.neighbours.any(),
                 silence: self.silence(core),
@@ -57,13 +57,16 @@
 
     /// Whether this daemon waits for changes of the settings at the store.
     pub fn follows_settings(&self, core: &Core) -> bool {
-        matches!(self.duty(core, follow::SETTINGS_WATCH), Duty::Follow { .. })
+        matches!(
+            self.duty(core, follow::SETTINGS_WATCH),
+            FeedRole::Follow { .. }
+        )
     }
 
     /// Whether this daemon polls the store for settings at the watch interval.
     pub fn watches_settings(&self, core: &Core) -> bool {
         let duty = self.duty(core, follow::SETTINGS_WATCH);
-        matches!(duty, Duty::Follow { wait: Some(wait) } if wait == follow::SETTINGS_WATCH)
+        matches!(duty, FeedRole::Follow { wait: Some(wait) } if wait == follow::SETTINGS_WATCH)
     }
 
     /// Time since the store last answered somebody who follows it, as far as is known here.
@@ -153,7 +156,10 @@
         let settled = directory.settled.notified();
         tokio::pin!(settled);
         settled.as_mut().enable();
-        if lock(&directory.own).as_ref().is_none_or(OwnRow::is_settled) {
+        if lock(&directory.own)
+            .as_ref()
+            .is_none_or(OwnedRow::is_settled)
+        {
             return;
         }
         settled.await;
--- a/crates/daemon/src/directory/publish.rs
+++ b/crates/daemon/src/directory/publish.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lynxcleat_store::{OwnRow, RowStoreError, RowWrite, StoredRow};
+use lynxcleat_store::{OwnedRow, RowStoreError, RowWrite, StoredRow};
 use lynxcleat_wire::SharedKey;
 use rand::RngExt;
 
@@ -41,7 +41,7 @@
 }
 
 fn next_write(directory: &DirectoryState) -> Option<RowWrite> {
-    lock(&directory.own).as_ref().and_then(OwnRow::next_write)
+    lock(&directory.own).as_ref().and_then(OwnedRow::next_write)
 }
 
 async fn write_own(
@@ -57,9 +57,9 @@
         return Ok(());
     };
     match written {
-        Ok(version) => own.written(value, version),
-        Err(RowStoreError::Conflict { current: Some(row) }) => own.seen(&row),
-        Err(RowStoreError::Conflict { current: None }) => own.seen_absent(),
+        Ok(version) => own.record_write(value, version),
+        Err(RowStoreError::Conflict { current: Some(row) }) => own.observe(&row),
+        Err(RowStoreError::Conflict { current: None }) => own.observe_absent(),
         Err(error) => return Err(error),
     }
     Ok(())
--- a/crates/daemon/src/directory/quarantined.rs
+++ b/crates/daemon/src/directory/quarantined.rs
@@ -72,7 +72,7 @@
     print: Fingerprint,
 ) -> Result<(), RowStoreError> {
     let key = format!("{QUARANTINE}{:02}", print.0 % PLACES);
-    let known = lock(&directory.members).copy().row(&key).cloned();
+    let known = lock(&directory.members).replica().row(&key).cloned();
     let mut current = known;
     loop {
         let before = current.as_ref().map(place).unwrap_or_default();
--- a/crates/daemon/src/directory/spread.rs
+++ b/crates/daemon/src/directory/spread.rs
@@ -10,7 +10,8 @@
 
 use lynxcleat_policy::Micros;
 use lynxcleat_store::{
-    DeltaTaken, Follower, KeyAsk, KeyReply, Missing, RowDelta, RowDigest, RowVersion, StoredRow,
+    DeltaOutcome, Follower, KeyReply, KeyRequest, Missing, RowDelta, RowDigest, RowVersion,
+    StoredRow,
 };
 use lynxcleat_wire::{Frame, RowDigestFrame, RowFrame, RowKeysFrame, RowsAsk, RowsFrame};
 use serde_bytes::ByteBuf;
@@ -44,10 +45,10 @@
         true => directory.hear(told_at),
         false => Duration::ZERO,
     };
-    let has_news = !taken.news.is_empty();
-    publish::take_key(directory, &taken.news);
-    quarantined::take(core, &taken.news);
-    member::take(core, directory, taken.news);
+    let has_news = !taken.changed.is_empty();
+    publish::take_key(directory, &taken.changed);
+    quarantined::take(core, &taken.changed);
+    member::take(core, directory, taken.changed);
     if has_news || through > before || gained >= PASSED_ON {
         tell(core, directory, before, Some(link.id));
     }
@@ -60,17 +61,17 @@
     }
 }
 
-fn take_frame(members: &mut Follower, mut frame: RowsFrame) -> DeltaTaken {
+fn take_frame(members: &mut Follower, mut frame: RowsFrame) -> DeltaOutcome {
     let Some(keys) = frame.keys.take() else {
-        return members.take_delta(delta(frame));
+        return members.apply_delta(delta(frame));
     };
     let reply = KeyReply {
         delta: delta(frame),
         buckets: keys.buckets.into_vec(),
         keys: keys.keys,
     };
-    DeltaTaken {
-        news: members.take_keys(reply),
+    DeltaOutcome {
+        changed: members.apply_key_reply(reply),
         missing: None,
     }
 }
@@ -105,7 +106,7 @@
     if ask.sums.is_empty() {
         return send(core, directory, link, ask.after);
     }
-    let reply = lock(&directory.members).copy().key_reply(&KeyAsk {
+    let reply = lock(&directory.members).replica().key_reply(&KeyRequest {
         after: ask.after,
         sums: ask.sums.clone(),
     });
@@ -128,7 +129,7 @@
     except: Option<u64>,
 ) {
     let links = directory.neighbours.links();
-    let delta = lock(&directory.members).copy().delta_after(after);
+    let delta = lock(&directory.members).replica().delta_after(after);
     let frame = frame(core, directory, delta);
     for link in links.iter().filter(|link| Some(link.id) != except) {
         send_frame(directory, link, frame.clone());
@@ -137,7 +138,7 @@
 
 /// Tells one neighbour of the changes after a version.
 pub(super) fn send(core: &Core, directory: &DirectoryState, link: &Link, after: RowVersion) {
-    let delta = lock(&directory.members).copy().delta_after(after);
+    let delta = lock(&directory.members).replica().delta_after(after);
     send_frame(directory, link, frame(core, directory, delta));
 }
 
--- a/crates/daemon/src/directory/state.rs
+++ b/crates/daemon/src/directory/state.rs
@@ -7,7 +7,7 @@
 
 use lynxcleat_policy::{EvacuatedZones, Micros};
 use lynxcleat_settings::Tree;
-use lynxcleat_store::{Follower, OwnRow, RowStore};
+use lynxcleat_store::{Follower, OwnedRow, RowStore};
 use lynxcleat_wire::SharedKey;
 use thiserror::Error;
 use tokio::sync::{Notify, watch};
@@ -168,7 +168,7 @@
     /// The key that proves links, once it is known.
     pub key: OnceLock<SharedKey>,
     pub(super) members_read: AtomicBool,
-    pub(super) own: Mutex<Option<OwnRow>>,
+    pub(super) own: Mutex<Option<OwnedRow>>,
     /// The members' table as far as it is known.
     pub(super) members: Mutex<Follower>,
     /// The table of the settings, where this daemon follows it.
--- a/crates/daemon/tests/rollout.rs
+++ b/crates/daemon/tests/rollout.rs
@@ -31,7 +31,7 @@
         note: String::new(),
         change_id: format!("{who}-{base}"),
         when_ms: 1,
-        settle: Duration::from_secs(5),
+        outcome_timeout: Duration::from_secs(5),
     }
 }
 
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -335,7 +335,7 @@
             note: String::new(),
             change_id: change_id.to_owned(),
             when_ms: 1,
-            settle: Duration::from_secs(5),
+            outcome_timeout: Duration::from_secs(5),
         };
         accept(&self.client(), &request).expect("accepted")
     }
--- a/crates/load/src/spread.rs
+++ b/crates/load/src/spread.rs
@@ -8,7 +8,9 @@
 use lynxcleat_policy::{
     Candidate, Location, OTHER_ZONE_NEIGHBOURS, SAME_ZONE_NEIGHBOURS, TargetId, neighbours, rank,
 };
-use lynxcleat_store::{Duty, Missing, RowCopy, RowDelta, RowsAt, Standing, StoredRow, duty};
+use lynxcleat_store::{
+    FeedRole, MemberStatus, Missing, RowDelta, StoredRow, TableReplica, VersionedRows, feed_role,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -56,7 +58,7 @@
 struct Member {
     zone: usize,
     rank: usize,
-    copy: RowCopy,
+    copy: TableReplica,
     heard_us: u64,
     links: Vec<usize>,
 }
@@ -179,14 +181,14 @@
         if member.copy.through() >= self.news.version {
             return;
         }
-        let standing = Standing {
+        let standing = MemberStatus {
             rank: member.rank,
             has_peers: !member.links.is_empty(),
             silence: Duration::from_micros(self.now_us - member.heard_us),
         };
-        let (after_us, what) = match duty(standing, WATCH) {
-            Duty::Follow { .. } => (STORE_US, What::Answered),
-            Duty::Listen(left) => (left.as_micros() as u64, What::Look),
+        let (after_us, what) = match feed_role(standing, WATCH) {
+            FeedRole::Follow { .. } => (STORE_US, What::Answered),
+            FeedRole::Listen(left) => (left.as_micros() as u64, What::Look),
         };
         self.queue
             .push(Reverse((self.now_us + after_us, number, what)));
@@ -197,7 +199,7 @@
         let member = &mut self.members[number];
         let before = member.copy.through();
         member.heard_us = self.now_us;
-        let news = member.copy.take_changes(RowsAt {
+        let news = member.copy.apply_changes(VersionedRows {
             rows: vec![self.news.clone()],
             version: self.news.version,
         });
@@ -216,9 +218,9 @@
         let member = &mut self.members[number];
         let before = member.copy.through();
         let theirs = delta.through;
-        let taken = member.copy.take_delta(delta.clone());
+        let taken = member.copy.apply_delta(delta.clone());
         member.heard_us = member.heard_us.max(heard_us);
-        if !taken.news.is_empty() {
+        if !taken.changed.is_empty() {
             self.tell_all(number, before, Some(from));
         }
         match taken.missing {
@@ -265,12 +267,12 @@
 /// How many members follow, as the decisions have it.
 fn followers() -> usize {
     let follows = |rank: &usize| {
-        let standing = Standing {
+        let standing = MemberStatus {
             rank: *rank,
             has_peers: true,
             silence: Duration::ZERO,
         };
-        matches!(duty(standing, WATCH), Duty::Follow { .. })
+        matches!(feed_role(standing, WATCH), FeedRole::Follow { .. })
     };
     (0..).take_while(follows).count()
 }
@@ -309,9 +311,9 @@
     }
 }
 
-fn table_of(count: usize) -> RowCopy {
-    let mut copy = RowCopy::default();
-    copy.take_table(RowsAt {
+fn table_of(count: usize) -> TableReplica {
+    let mut copy = TableReplica::default();
+    copy.apply_snapshot(VersionedRows {
         rows: (0..count).map(|key| row(key, key as u64 + 1)).collect(),
         version: count as u64,
     });
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -278,7 +278,7 @@
         note: String::new(),
         change_id: format!("soak-{hold_limit}"),
         when_ms: 1,
-        settle: Duration::from_secs(2),
+        outcome_timeout: Duration::from_secs(2),
     })
 }
 
--- a/crates/store/src/release.rs
+++ b/crates/store/src/accept.rs
@@ -1,12 +1,12 @@
-//! Accepting a tree: one transaction moves the pointer from a generation to the
-//! next by compare-and-set and writes the audit rows with it.
+//! Acceptance of settings trees. One transaction moves the pointer to the next generation by
+//! compare-and-set and writes the audit rows.
 //!
-//! The content is stored first, immutable under its digest, so a pointer never
-//! names a tree that is not there. A lost reply is settled by reading back the
-//! change's id; as long as it is not found, the same transaction may be sent
-//! again, because it can take effect only on the pointer it was built for. (The
-//! compare-and-set on an active pointer, with the outcome read back and never
-//! guessed, follows the rollout paper listed in docs/DESIGN-INDEX.md.)
+//! The content is stored first, immutable under its digest, so the pointer never refers to a
+//! missing tree. After a lost reply, the outcome is determined by searching for the change's
+//! ID. While it is not found, the same transaction can be sent again safely, because it can
+//! commit only on the pointer version it was built for. (The compare-and-set on an active
+//! pointer, with the outcome read back and never guessed, follows the rollout paper listed
+//! in docs/DESIGN-INDEX.md.)
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -20,42 +20,42 @@
 use crate::error::{AcceptError, PlatformError};
 use crate::rows::{AuditEntry, GenerationRow, Pointer, audit_key, generation_key, keys};
 
-/// Most changed paths of one generation: one transaction holds them all.
-const CHANGES_LIMIT: usize = 2_000;
-/// Times that a compare-and-set may lose to other operators.
-const ROUNDS_LIMIT: u32 = 20;
-/// Pause between two tries to read back the outcome of a write.
-const READ_BACK_PAUSE: Duration = Duration::from_millis(200);
-/// Generations read at once when looking for a change.
-const HISTORY_PAGE: usize = 200;
+/// Maximum number of changed paths per generation. All must fit into one transaction.
+const MAX_CHANGES: usize = 2_000;
+/// Maximum number of compare-and-set attempts that may lose to concurrent changes.
+const MAX_CAS_ATTEMPTS: u32 = 20;
+/// Interval between attempts to read back a write's outcome or a current pointer.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of generations per scan when searching for a change.
+const HISTORY_PAGE_SIZE: usize = 200;
 
-/// An operator's wish to have a tree in force.
+/// An operator's request to put a tree in force.
 #[derive(Clone, Debug)]
 pub struct AcceptRequest {
     /// The edited tree.
     pub tree: Tree,
-    /// Generation that the edit started from; 0 for the first tree.
+    /// Generation on which the edit is based; 0 for the first tree.
     pub base: u64,
-    /// The operator.
+    /// Operator who makes the change.
     pub who: String,
-    /// Why, in the operator's words.
+    /// Operator's description of the change.
     pub note: String,
-    /// Id of the change, unique; a second request with it changes nothing.
+    /// Unique ID of the change. Requests are idempotent by this ID.
     pub change_id: String,
-    /// The operator's clock, in milliseconds since 1970.
+    /// Time on the operator's clock, in milliseconds since the Unix epoch.
     pub when_ms: u64,
-    /// Time to settle an outcome that is not known.
-    pub settle: Duration,
+    /// Time limit for resolving an unknown write outcome, and for waiting out stale reads.
+    pub outcome_timeout: Duration,
 }
 
 /// A tree that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accepted {
-    /// Its generation.
+    /// Generation of the tree.
     pub generation: u64,
-    /// Changed paths against the generation before.
+    /// Paths that changed from the previous generation.
     pub changes: Vec<Change>,
-    /// Whether another operator's change was merged in.
+    /// Whether the edit was merged with other operators' changes.
     pub merged: bool,
 }
 
@@ -65,50 +65,51 @@
     tree: Tree,
 }
 
-/// Accepts a tree, merged by path with what others accepted since its base.
+/// Accepts a tree, merging it by path with changes that others made since its base.
 ///
 /// # Errors
-/// See [`AcceptError`]; only `OutcomeUnknown` leaves open whether it took effect.
+/// See [`AcceptError`]. Only `OutcomeUnknown` leaves it uncertain whether the change was
+/// accepted.
 pub fn accept(platform: &Platform, request: &AcceptRequest) -> Result<Accepted, AcceptError> {
-    let mut lost = 0;
+    let mut lost_races = 0;
     loop {
         if let Some(row) = accepted_change(platform, &request.change_id, request.base)? {
-            return Ok(already(platform, request, row)?);
+            return Ok(previously_accepted(platform, request, row)?);
         }
-        let current = read_recent(platform, request)?;
+        let current = read_at_least_base(platform, request)?;
         let (tree, merged) = merged_tree(platform, request, &current)?;
         let changes = diff(&current.tree, &tree);
         check_changes(&changes, current.generation)?;
         let (content, content_digest) = digest(&tree);
         platform.put_object(&content_digest, content.as_bytes())?;
         let txn = transaction(request, &current, &tree, &changes);
-        if write_settled(platform, request, &txn)? {
+        if write_until_resolved(platform, request, &txn)? {
             return Ok(Accepted {
                 generation: current.generation + 1,
                 changes,
                 merged,
             });
         }
-        lost += 1;
-        if lost == ROUNDS_LIMIT {
-            return Err(AcceptError::Contended(lost));
+        lost_races += 1;
+        if lost_races == MAX_CAS_ATTEMPTS {
+            return Err(AcceptError::Contended(lost_races));
         }
     }
 }
 
-/// Reads the generation in force and its tree; generation 0 is the empty tree.
+/// Reads the generation in force and its tree. Generation 0 is the empty tree.
 ///
 /// # Errors
-/// The platform's failure.
+/// Returns any platform failure.
 pub fn read_tree(platform: &Platform) -> Result<(u64, Tree), PlatformError> {
     let current = read_current(platform)?;
     Ok((current.generation, current.tree))
 }
 
-/// The generation that a change made, if it was accepted after `after`.
+/// Finds the generation that a change created among those after `after`.
 ///
 /// # Errors
-/// The platform's failure.
+/// Returns any platform failure.
 pub fn accepted_change(
     platform: &Platform,
     change_id: &str,
@@ -116,7 +117,7 @@
 ) -> Result<Option<GenerationRow>, PlatformError> {
     let mut after = generation_key(after);
     loop {
-        let rows = platform.scan(keys::GENERATIONS, &after, HISTORY_PAGE)?;
+        let rows = platform.scan(keys::GENERATIONS, &after, HISTORY_PAGE_SIZE)?;
         let Some(last) = rows.last() else {
             return Ok(None);
         };
@@ -130,10 +131,10 @@
     }
 }
 
-/// Generations after `after`, oldest first.
+/// Reads up to `limit` generations after `after`, oldest first.
 ///
 /// # Errors
-/// The platform's failure.
+/// Returns any platform failure.
 pub fn history(
     platform: &Platform,
     after: u64,
@@ -156,24 +157,30 @@
     Ok(Current {
         pointer_version,
         generation: pointer.generation,
-        tree: fetch(platform, &pointer.digest)?,
+        tree: fetch_tree(platform, &pointer.digest)?,
     })
 }
 
-/// Reads what is in force. A read that is older than the edit's base shows only
-/// that the platform serves old rows for now, so it is made again for a while.
-fn read_recent(platform: &Platform, request: &AcceptRequest) -> Result<Current, PlatformError> {
-    let begun = Instant::now();
+/// Reads the generation in force. A generation older than the edit's base means that the
+/// platform returned stale rows, so the read is repeated until `outcome_timeout`.
+fn read_at_least_base(
+    platform: &Platform,
+    request: &AcceptRequest,
+) -> Result<Current, PlatformError> {
+    let started = Instant::now();
     loop {
         let current = read_current(platform)?;
-        if current.generation >= request.base || begun.elapsed() >= request.settle {
+        if current.generation >= request.base || started.elapsed() >= request.outcome_timeout {
             return Ok(current);
         }
-        thread::sleep(READ_BACK_PAUSE);
+        thread::sleep(READ_BACK_INTERVAL);
     }
 }
 
-fn fetch(platform: &Platform, digest: &lynxcleat_settings::Digest) -> Result<Tree, PlatformError> {
+fn fetch_tree(
+    platform: &Platform,
+    digest: &lynxcleat_settings::Digest,
+) -> Result<Tree, PlatformError> {
     let content = platform.get_object(digest)?;
     Ok(Tree::parse(&String::from_utf8_lossy(&content))?)
 }
@@ -202,7 +209,7 @@
     }
     let row = platform.read_one(&generation_key(base))?.ok_or(unknown)?;
     let generation: GenerationRow = parse(row)?;
-    Ok(fetch(platform, &generation.digest)?)
+    Ok(fetch_tree(platform, &generation.digest)?)
 }
 
 fn check_changes(changes: &[Change], generation: u64) -> Result<(), AcceptError> {
@@ -210,10 +217,10 @@
     if found == 0 && generation > 0 {
         return Err(AcceptError::NoChange(generation));
     }
-    if found > CHANGES_LIMIT {
+    if found > MAX_CHANGES {
         return Err(AcceptError::TooManyChanges {
             found,
-            limit: CHANGES_LIMIT,
+            limit: MAX_CHANGES,
         });
     }
     Ok(())
@@ -267,20 +274,20 @@
     }
 }
 
-/// Writes, and settles a lost reply. True where the change is in force, false
-/// where another change came first.
-fn write_settled(
+/// Sends the transaction and resolves a lost reply. Returns whether the change was accepted;
+/// `false` means that another change was accepted first.
+fn write_until_resolved(
     platform: &Platform,
     request: &AcceptRequest,
     txn: &Txn,
 ) -> Result<bool, AcceptError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut in_doubt: Option<PlatformError> = None;
     loop {
         match platform.write(txn) {
             Ok(reply) if reply.committed => return Ok(true),
-            // A compare-and-set that fails after a lost reply may have been
-            // beaten by its own first copy.
+            // After a lost reply, the compare-and-set may have failed because an earlier
+            // attempt of this same transaction was applied.
             Ok(_) if in_doubt.is_none() => return Ok(false),
             Ok(_) => match accepted_change(platform, &request.change_id, request.base) {
                 Ok(found) => return Ok(found.is_some()),
@@ -291,24 +298,24 @@
             Err(error) => in_doubt = Some(error),
         }
         if let Some(source) = in_doubt.clone()
-            && begun.elapsed() >= request.settle
+            && started.elapsed() >= request.outcome_timeout
         {
             return Err(AcceptError::OutcomeUnknown {
                 change_id: request.change_id.clone(),
                 source,
             });
         }
-        thread::sleep(READ_BACK_PAUSE);
+        thread::sleep(READ_BACK_INTERVAL);
     }
 }
 
-fn already(
+fn previously_accepted(
     platform: &Platform,
     request: &AcceptRequest,
     row: GenerationRow,
 ) -> Result<Accepted, PlatformError> {
     let prefix = format!("{}{:020}/", keys::AUDIT, row.generation);
-    let rows = platform.scan(&prefix, "", CHANGES_LIMIT)?;
+    let rows = platform.scan(&prefix, "", MAX_CHANGES)?;
     let changes: Result<Vec<AuditEntry>, PlatformError> = rows.into_iter().map(parse).collect();
     Ok(Accepted {
         generation: row.generation,
--- a/crates/store/src/api.rs
+++ b/crates/store/src/api.rs
@@ -1,8 +1,8 @@
-//! Bodies of the platform's HTTP interface, as its published protocol has them.
+//! Request and response bodies of the platform's published HTTP protocol.
 //!
-//! `POST /table/read`, `/table/scan` and `/table/write` take and give JSON;
-//! `PUT` and `GET /objects/DIGEST` take and give bytes; `GET
-//! /hosts?after=N&limit=M` gives what changed in the host list since version N.
+//! `POST /table/read`, `/table/scan` and `/table/write` use JSON bodies; `PUT` and
+//! `GET /objects/DIGEST` use raw bytes; `GET /hosts?after=N&limit=M` returns the
+//! host list entries that changed since version N.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -13,122 +13,123 @@
 /// One row of the table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Rises with every write of the row; [`NO_ROW`] where there is none.
+    /// Increases with every write of the row; [`NO_ROW`] if the row does not exist.
     pub version: u64,
-    /// Its value; null where there is none.
+    /// JSON value; null if the row does not exist.
     pub value: Value,
 }
 
-/// Reads rows by key.
+/// Body of a read by key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReadRequest {
-    /// The keys.
+    /// Keys to read.
     pub keys: Vec<String>,
 }
 
-/// Reads rows in the order of their keys.
+/// Body of a scan in key order.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ScanRequest {
-    /// Only keys that start so.
+    /// Returns only keys with this prefix.
     pub prefix: String,
-    /// Only keys after this one.
+    /// Returns only keys greater than this one.
     pub after: String,
-    /// Rows at most.
+    /// Maximum number of rows to return.
     pub limit: usize,
 }
 
-/// The rows read, a key without a row included for reads by key.
+/// Rows returned by a read or scan. A read by key also returns an entry, with version
+/// [`NO_ROW`], for each key that does not exist.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReadReply {
-    /// The rows.
+    /// Rows in the order of the request's keys, or in key order for a scan.
     pub rows: Vec<Row>,
 }
 
-/// A condition of a transaction.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct VersionCheck {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Version it must have; [`NO_ROW`] where it must not exist.
+    /// Version that the row must have; [`NO_ROW`] if it must not exist.
     pub version: u64,
 }
 
-/// A write of a transaction.
+/// A single write in a transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Put {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its new value.
+    /// New value of the row.
     pub value: Value,
-    /// Time in milliseconds after which the platform drops the row.
+    /// Time to live in milliseconds, after which the platform deletes the row.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ttl_ms: Option<u64>,
 }
 
-/// All writes take effect if all conditions hold, or none does.
+/// An atomic transaction: all writes are applied if every check passes; otherwise none is.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Txn {
-    /// Conditions.
+    /// Preconditions on row versions.
     pub checks: Vec<VersionCheck>,
-    /// Writes.
+    /// Writes to apply.
     pub puts: Vec<Put>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TxnReply {
-    /// Whether the writes took effect.
+    /// Whether the writes were applied.
     pub committed: bool,
-    /// Rows whose condition failed, as they are.
+    /// Current state of the rows whose checks failed.
     pub conflicts: Vec<Row>,
 }
 
-/// What the platform says of a host.
+/// State of a host as reported by the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It lives, as far as the platform knows.
+    /// The host is running, as far as the platform knows.
     Live,
-    /// It will be taken away.
+    /// The host is scheduled for removal.
     Leaving,
-    /// It was taken away.
+    /// The host was removed.
     Gone,
 }
 
-/// One host of the list.
+/// An entry of the host list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostEntry {
     /// Name of the host.
     pub host: String,
-    /// Its place.
+    /// Place of the host.
     pub place: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Its region; empty where the deployment names none.
+    /// Region of the host; empty if the deployment does not define regions.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub region: String,
-    /// Service of its target.
+    /// Service that the host's target provides.
     pub service: String,
-    /// Version of the software that its target runs; empty where that is not known.
+    /// Software version of the host's target; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub version: String,
-    /// Address of its daemon's mesh.
+    /// Mesh address of the host's daemon.
     pub mesh: String,
-    /// Address of its daemon's operators' endpoint.
+    /// Address of the operator endpoint of the host's daemon.
     pub ops: String,
-    /// What the platform says of it.
+    /// State reported by the platform.
     pub state: HostState,
 }
 
-/// What changed in the host list.
+/// A page of host list changes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HostPage {
-    /// Version of the list after these changes.
+    /// Version of the list that includes these changes.
     pub version: u64,
     /// Hosts whose entry changed.
     pub hosts: Vec<HostEntry>,
-    /// Whether more changes follow.
+    /// Whether there are more changes after this page.
     pub more: bool,
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,6 +1,6 @@
-//! The HTTP client. Blocking, by minreq: a connection a request costs about a
-//! millisecond, which matters to nothing that lies in the path of a call, and
-//! leaves no connection to a platform that comes and goes.
+//! Blocking HTTP client based on minreq. It opens a connection for each request, which
+//! costs about a millisecond. No request to the platform is on the path of a call, so
+//! that cost is acceptable, and no stale connection remains after a platform outage.
 
 use std::time::Duration;
 
@@ -14,92 +14,93 @@
 use crate::error::PlatformError;
 
 const DEFAULT_TIMEOUT_S: u64 = 2;
-const DEFAULT_TRIES: usize = 3;
-const FIRST_DELAY: Duration = Duration::from_millis(50);
-const LONGEST_DELAY: Duration = Duration::from_secs(2);
+const DEFAULT_MAX_ATTEMPTS: usize = 3;
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Options of a [`Platform`] client.
 #[derive(Clone, Debug)]
 pub struct PlatformBuilder {
     url: String,
     timeout_s: u64,
-    tries: usize,
+    max_attempts: usize,
 }
 
 impl PlatformBuilder {
-    /// Seconds that one request may take.
+    /// Sets the timeout of each request, in seconds.
     pub fn timeout_s(mut self, seconds: u64) -> Self {
         self.timeout_s = seconds;
         self
     }
 
-    /// Requests sent for one read at most. Writes are sent once.
-    pub fn tries(mut self, tries: usize) -> Self {
-        self.tries = tries.max(1);
+    /// Sets the maximum number of attempts per retryable request. Transactions are sent only
+    /// once.
+    pub fn max_attempts(mut self, max_attempts: usize) -> Self {
+        self.max_attempts = max_attempts.max(1);
         self
     }
 
-    /// The client.
+    /// Builds the client.
     pub fn build(self) -> Platform {
         Platform { options: self }
     }
 }
 
-/// A client of the platform. Cheap to clone.
+/// A client of the platform API. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Platform {
     options: PlatformBuilder,
 }
 
 impl Platform {
-    /// Options for the platform at `url`, such as `http://127.0.0.1:6000`.
+    /// Returns a builder for a client of the platform at `url`, such as
+    /// `http://127.0.0.1:6000`.
     pub fn builder(url: impl Into<String>) -> PlatformBuilder {
         PlatformBuilder {
             url: url.into(),
             timeout_s: DEFAULT_TIMEOUT_S,
-            tries: DEFAULT_TRIES,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
         }
     }
 
-    /// Reads rows by key, in the order of the keys. The platform may serve rows
-    /// as they were a moment ago.
+    /// Reads rows by key, in the order of `keys`. The platform may return stale rows.
     ///
     /// # Errors
-    /// The last failure, after the configured number of tries.
+    /// Returns the last failure, after the configured number of attempts.
     pub fn read(&self, keys: &[String]) -> Result<Vec<Row>, PlatformError> {
         let request = ReadRequest {
             keys: keys.to_vec(),
         };
-        let reply: ReadReply = self.retried(|| self.post("/table/read", &request))?;
+        let reply: ReadReply = self.with_retries(|| self.post("/table/read", &request))?;
         Ok(reply.rows)
     }
 
-    /// Reads one row; `None` where there is none.
+    /// Reads one row; returns `None` if it does not exist.
     ///
     /// # Errors
-    /// As [`Platform::read`].
+    /// Same as [`Platform::read`].
     pub fn read_one(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         let rows = self.read(&[key.to_owned()])?;
         Ok(rows.into_iter().find(|row| row.version > 0))
     }
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and come after
-    /// `after`.
+    /// Reads up to `limit` rows whose keys start with `prefix` and are greater than
+    /// `after`, in key order.
     ///
     /// # Errors
-    /// As [`Platform::read`].
+    /// Same as [`Platform::read`].
     pub fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, PlatformError> {
         let request = ScanRequest {
             prefix: prefix.to_owned(),
             after: after.to_owned(),
             limit,
         };
-        let reply: ReadReply = self.retried(|| self.post("/table/scan", &request))?;
+        let reply: ReadReply = self.with_retries(|| self.post("/table/scan", &request))?;
         Ok(reply.rows)
     }
 
-    /// Runs one transaction. It is sent once: whether to send it again after a
-    /// lost reply is for the caller to decide, who knows what to read back.
+    /// Runs one transaction. It is never retried here: after a lost reply, only the caller
+    /// knows which rows to read back before deciding whether to retry.
     ///
     /// # Errors
     /// See [`PlatformError::may_have_applied`].
@@ -107,41 +108,42 @@
         self.post("/table/write", txn)
     }
 
-    /// Stores content under its digest. Storing it again changes nothing, so a
-    /// failed request is tried again.
+    /// Stores content under its digest. The operation is idempotent, so failed requests are
+    /// retried.
     ///
     /// # Errors
-    /// The last failure, after the configured number of tries.
+    /// Returns the last failure, after the configured number of attempts.
     pub fn put_object(&self, digest: &Digest, content: &[u8]) -> Result<(), PlatformError> {
         let path = format!("/objects/{digest}");
-        self.retried(|| {
+        self.with_retries(|| {
             let request = self.request(Method::Put, &path).with_body(content.to_vec());
             send(request).map(|_| ())
         })
     }
 
-    /// Reads content and checks it against its digest.
+    /// Reads content and verifies its digest.
     ///
     /// # Errors
-    /// Content that is missing or does not match, or the last failure.
+    /// Returns an error if the content is missing or does not match its digest; otherwise
+    /// returns the last failure.
     pub fn get_object(&self, digest: &Digest) -> Result<Vec<u8>, PlatformError> {
         let path = format!("/objects/{digest}");
-        let response = self.retried(|| send(self.request(Method::Get, &path)))?;
+        let response = self.with_retries(|| send(self.request(Method::Get, &path)))?;
         let content = response.into_bytes();
         if Digest::of(&content) != *digest {
-            return Err(PlatformError::WrongDigest(digest.to_string()));
+            return Err(PlatformError::DigestMismatch(digest.to_string()));
         }
         Ok(content)
     }
 
-    /// What changed in the host list since version `after`, `limit` entries at
-    /// most. The list lags.
+    /// Reads up to `limit` host list entries that changed since version `after`. The list
+    /// may lag behind the actual state of the hosts.
     ///
     /// # Errors
-    /// The last failure, after the configured number of tries.
+    /// Returns the last failure, after the configured number of attempts.
     pub fn hosts(&self, after: u64, limit: usize) -> Result<HostPage, PlatformError> {
         let path = format!("/hosts?after={after}&limit={limit}");
-        self.retried(|| parse(&send(self.request(Method::Get, &path))?))
+        self.with_retries(|| parse(&send(self.request(Method::Get, &path))?))
     }
 
     fn post<T: DeserializeOwned>(
@@ -163,14 +165,14 @@
             .with_follow_redirects(false)
     }
 
-    fn retried<T>(
+    fn with_retries<T>(
         &self,
         request: impl FnMut() -> Result<T, PlatformError>,
     ) -> Result<T, PlatformError> {
         let backoff = ExponentialBuilder::default()
-            .with_min_delay(FIRST_DELAY)
-            .with_max_delay(LONGEST_DELAY)
-            .with_max_times(self.options.tries - 1)
+            .with_min_delay(MIN_RETRY_DELAY)
+            .with_max_delay(MAX_RETRY_DELAY)
+            .with_max_times(self.options.max_attempts - 1)
             .with_jitter();
         request
             .retry(backoff)
@@ -190,7 +192,8 @@
     }
 }
 
-/// Only a connection that was refused shows that nothing was sent.
+/// Maps transport errors. Only a refused connection or a failed name lookup proves that
+/// nothing was sent.
 fn classify(error: minreq::Error) -> PlatformError {
     let text = error.to_string();
     match error {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,44 +1,44 @@
-//! Typed failures of the platform and of accepting settings.
+//! Error types for platform calls and for accepting settings.
 
 use lynxcleat_settings::{Conflict, SettingsError};
 use thiserror::Error;
 
-/// A call to the platform that failed.
+/// A failed call to the platform.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PlatformError {
-    /// Nothing was sent.
-    #[error("the platform cannot be reached: {0}")]
+    /// The connection failed before anything was sent.
+    #[error("cannot connect to the platform: {0}")]
     Unreachable(String),
-    /// No whole reply came; a write may have taken effect.
-    #[error("no reply from the platform: {0}")]
+    /// No complete reply was received; a write may have been applied.
+    #[error("no complete reply from the platform: {0}")]
     NoReply(String),
-    /// The platform says that it cannot serve now; a write may have taken effect.
-    #[error("the platform answers status {0}")]
+    /// The platform reported that it is overloaded or failing; a write may have been applied.
+    #[error("the platform is unavailable (HTTP status {0})")]
     Unavailable(u16),
-    /// The platform refuses the request as it is.
-    #[error("the platform refuses the request with status {0}")]
+    /// The platform rejected the request, and a retry would not help.
+    #[error("the platform rejected the request (HTTP status {0})")]
     Refused(u16),
-    /// What was asked for does not exist.
+    /// The requested resource does not exist.
     #[error("{0} does not exist on the platform")]
     Missing(String),
-    /// The reply does not have the published form.
-    #[error("reply of an unexpected form at {path}: {reason}")]
+    /// The reply does not conform to the published protocol.
+    #[error("malformed platform reply at {path}: {reason}")]
     Malformed {
-        /// Path within the reply.
+        /// Path of the invalid field within the reply.
         path: String,
-        /// What is wrong there.
+        /// Deserialization error at that path.
         reason: String,
     },
-    /// Content does not match the digest it is stored under.
-    #[error("object {0} has other content than its digest says")]
-    WrongDigest(String),
-    /// The stored tree is not one that this version takes.
-    #[error("the stored tree is refused: {0}")]
+    /// The content does not match the digest under which it is stored.
+    #[error("content of object {0} does not match its digest")]
+    DigestMismatch(String),
+    /// The stored tree is not valid for this version of the software.
+    #[error("invalid stored settings tree: {0}")]
     BadTree(#[from] SettingsError),
 }
 
 impl PlatformError {
-    /// Whether the same request may succeed a moment later.
+    /// Whether retrying the same request may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(
             self,
@@ -48,7 +48,7 @@
         )
     }
 
-    /// Whether a write that failed so may have taken effect all the same.
+    /// Whether a write that failed with this error may nevertheless have been applied.
     pub fn may_have_applied(&self) -> bool {
         matches!(
             self,
@@ -59,45 +59,49 @@
     }
 }
 
-/// Why a tree was not accepted.
+/// Reason why a tree was not accepted.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum AcceptError {
-    /// The platform failed before anything was changed.
+    /// A platform call failed before anything was changed.
     #[error("nothing was changed: {0}")]
     Platform(#[from] PlatformError),
-    /// Another operator's change stands in the way.
+    /// The edit conflicts with another operator's change.
     #[error("nothing was changed: {0}")]
     Conflict(Box<Conflict>),
-    /// The edit says that it is based on a generation never accepted.
-    #[error("nothing was changed: base generation {base} is not known; {current} is in force")]
+    /// The edit is based on a generation that was never accepted.
+    #[error(
+        "nothing was changed: unknown base generation {base}; generation {current} is in force"
+    )]
     UnknownBase {
-        /// The base that the edit names.
+        /// Base generation named by the edit.
         base: u64,
-        /// The generation in force.
+        /// Generation in force.
         current: u64,
     },
-    /// The edit changes nothing.
-    #[error("nothing was changed: the tree equals generation {0}")]
+    /// The tree is identical to the generation in force.
+    #[error("nothing was changed: the tree is identical to generation {0}")]
     NoChange(u64),
-    /// Other operators kept accepting first.
+    /// Concurrent changes by other operators won every compare-and-set attempt.
     #[error("nothing was changed: {0} other changes were accepted first; try again")]
     Contended(u32),
-    /// Too many changed paths for one transaction.
-    #[error("nothing was changed: {found} changed paths; one generation takes {limit}")]
+    /// The number of changed paths exceeds the limit of one transaction.
+    #[error(
+        "nothing was changed: {found} changed paths exceed the limit of {limit} per generation"
+    )]
     TooManyChanges {
-        /// Paths changed.
+        /// Number of changed paths.
         found: usize,
-        /// Most that one transaction takes.
+        /// Maximum number of changed paths in one transaction.
         limit: usize,
     },
-    /// The write may have taken effect, and the platform could not be read back.
+    /// The write may have been applied, and reading back the result from the platform failed.
     #[error(
-        "not known whether change {change_id} was accepted ({source}); ask with `lynxcleat settings status --change {change_id}`"
+        "unknown whether change {change_id} was accepted ({source}); check with `lynxcleat settings status --change {change_id}`"
     )]
     OutcomeUnknown {
-        /// Id of the change.
+        /// ID of the change.
         change_id: String,
-        /// The failure.
+        /// Last platform failure.
         source: PlatformError,
     },
 }
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -1,140 +1,144 @@
-//! Following one table: when to read it whole, when to wait for changes, and how long
-//! to pause between calls.
+//! State of a follower of one table: decides when to read the whole table, when to
+//! long-poll for changes, and how long to pause between calls.
 
 use std::time::Duration;
 
-use crate::row_copy::{DeltaTaken, KeyReply, RowCopy, RowDelta};
-use crate::row_store::{RowStoreError, RowVersion, RowsAt, StoredRow};
+use crate::row_store::{RowStoreError, RowVersion, StoredRow, VersionedRows};
+use crate::table_replica::{DeltaOutcome, KeyReply, RowDelta, TableReplica};
 
-/// Pause after a first failure, and the longest one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+/// Bounds of the exponential backoff after consecutive failures.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// Longest wait of one call for changes: half of what the users' store allows.
-const WAIT: Duration = Duration::from_secs(15);
-/// Wait of the first call after a failure; it doubles with each call that is answered.
+/// Maximum duration of one long poll: half of the limit that the users' store allows.
+const MAX_WAIT: Duration = Duration::from_secs(15);
+/// Maximum duration of the first long poll after a failure. It doubles with each
+/// successful call.
 const WAIT_AFTER_FAILURE: Duration = Duration::from_millis(300);
 
-/// Time for which news are gathered at first, and while they keep coming. While a fleet
-/// starts, its members write one after the other, and each change ends a wait.
-const FIRST_GATHER: Duration = Duration::from_millis(300);
-const LONGEST_GATHER: Duration = Duration::from_millis(600);
-/// Longest pause at a member that does not watch: it receives news from watchers meanwhile.
-const LONGEST_GATHER_NON_WATCHER: Duration = Duration::from_secs(2);
-/// A wait for news of this length ends a row of them.
-const QUIET: Duration = Duration::from_secs(1);
-
-/// What to ask of the store next.
+/// Pauses that batch changes: the first, and those while changes keep arriving. While a
+/// fleet starts, its members write one after the other, and each change ends a long poll.
+const FIRST_BATCH_PAUSE: Duration = Duration::from_millis(300);
+const REPEATED_BATCH_PAUSE: Duration = Duration::from_millis(600);
+/// Pause while changes keep arriving at a member that is not a watcher. It receives changes
+/// from the watchers in the meantime.
+const REPEATED_BATCH_PAUSE_NON_WATCHER: Duration = Duration::from_secs(2);
+/// A long poll that waited at least this long for changes ends a batch.
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
+
+/// Next request to send to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ask {
-    /// The whole table.
+pub enum FeedRequest {
+    /// Read the whole table.
     Read,
-    /// What changed after a version.
+    /// Long-poll for changes after a version.
     Changes {
-        /// The version.
+        /// Version up to which all changes are known.
         after: RowVersion,
     },
 }
 
-/// Where a follower stands in one table.
+/// State of a follower of one table.
 #[derive(Debug, Default)]
 pub struct Follower {
-    copy: RowCopy,
-    /// Whether the history after the copy is still kept, as far as is known.
-    whole: bool,
-    failures: u32,
-    /// Whether news came before without a quiet time since.
-    gathers: bool,
-    /// Calls answered since the last failure, where there was one.
-    answered: Option<u32>,
+    replica: TableReplica,
+    /// Whether the store is believed to retain all changes after the replica's version.
+    has_history: bool,
+    consecutive_failures: u32,
+    /// Whether changes have arrived before. A quiet period then starts a new batch.
+    is_batching: bool,
+    /// Successful calls since the last failure; `None` if there was no failure.
+    successes_since_failure: Option<u32>,
 }
 
 impl Follower {
-    /// What to ask next.
-    pub fn ask(&self) -> Ask {
-        if self.whole {
-            Ask::Changes {
-                after: self.copy.through(),
+    /// Returns the next request to send to the store.
+    pub fn next_request(&self) -> FeedRequest {
+        if self.has_history {
+            FeedRequest::Changes {
+                after: self.replica.through(),
             }
         } else {
-            Ask::Read
+            FeedRequest::Read
         }
     }
 
-    /// Longest wait of the next call for changes, where `usual` is the one without a
-    /// failure. A store that falls silent looks like one without changes until the wait is
-    /// over, so some daemons wait for a short time only, and the others hear from them.
-    pub fn wait(&self, usual: Option<Duration>) -> Duration {
-        let usual = usual.unwrap_or(WAIT);
-        match self.answered {
+    /// Returns the maximum duration of the next long poll; `usual` is the one used if no call
+    /// has failed. Until a long poll ends, a store that has stopped responding cannot be told
+    /// from one without changes. Some daemons therefore use short polls and pass on what they
+    /// learn to the others.
+    pub fn next_wait(&self, usual: Option<Duration>) -> Duration {
+        let usual = usual.unwrap_or(MAX_WAIT);
+        match self.successes_since_failure {
             None => usual,
-            Some(answered) => usual.min(WAIT_AFTER_FAILURE * (1 << answered.min(10))),
+            Some(successes) => usual.min(WAIT_AFTER_FAILURE * (1 << successes.min(10))),
         }
     }
 
-    /// Whether the whole table is known from some time.
-    pub fn has_read(&self) -> bool {
-        self.whole || self.copy.through() > 0
+    /// Whether the table has been read or received in full at least once.
+    pub fn has_snapshot(&self) -> bool {
+        self.has_history || self.replica.through() > 0
     }
 
-    /// The version up to which no change is missing.
+    /// Version up to which the replica is complete.
     pub fn through(&self) -> RowVersion {
-        self.copy.through()
+        self.replica.through()
     }
 
-    /// Takes the whole table and returns its news; see [`RowCopy::take_table`].
-    pub fn read(&mut self, table: RowsAt) -> Vec<StoredRow> {
-        self.was_answered();
-        self.whole = true;
-        self.copy.take_table(table)
+    /// Applies a read of the whole table and returns the rows that changed; see
+    /// [`TableReplica::apply_snapshot`].
+    pub fn apply_snapshot(&mut self, table: VersionedRows) -> Vec<StoredRow> {
+        self.record_success();
+        self.has_history = true;
+        self.replica.apply_snapshot(table)
     }
 
-    /// Takes changes and returns those that are news.
-    pub fn changed(&mut self, changes: RowsAt) -> Vec<StoredRow> {
-        self.was_answered();
-        self.copy.take_changes(changes)
+    /// Applies changes from the store and returns the rows that changed in the replica.
+    pub fn apply_changes(&mut self, changes: VersionedRows) -> Vec<StoredRow> {
+        self.record_success();
+        self.replica.apply_changes(changes)
     }
 
-    /// Takes changes that a peer passed on.
-    pub fn take_delta(&mut self, delta: RowDelta) -> DeltaTaken {
-        self.copy.take_delta(delta)
+    /// Applies changes forwarded by a peer.
+    pub fn apply_delta(&mut self, delta: RowDelta) -> DeltaOutcome {
+        self.replica.apply_delta(delta)
     }
 
     /// Applies a peer's reply to a key comparison and returns the rows that changed.
-    pub fn take_keys(&mut self, reply: KeyReply) -> Vec<StoredRow> {
-        self.copy.take_keys(reply)
+    pub fn apply_key_reply(&mut self, reply: KeyReply) -> Vec<StoredRow> {
+        self.replica.apply_key_reply(reply)
     }
 
-    /// What is known of the table, for peers.
-    pub fn copy(&self) -> &RowCopy {
-        &self.copy
+    /// The local replica of the table.
+    pub fn replica(&self) -> &TableReplica {
+        &self.replica
     }
 
-    /// News came after the call for them had waited for `waited`. Returns how long to
-    /// pause before the next call, so that news that come together are read together.
-    pub fn gather(&mut self, waited: Duration, is_watcher: bool) -> Duration {
-        let gathers = self.gathers && waited < QUIET;
-        self.gathers = true;
-        match (gathers, is_watcher) {
-            (false, _) => FIRST_GATHER,
-            (true, true) => LONGEST_GATHER,
-            (true, false) => LONGEST_GATHER_NON_WATCHER,
+    /// Records that a long poll returned changes after `waited`. Returns the pause before the
+    /// next call, so that changes made in quick succession are read in one call.
+    pub fn batch_pause(&mut self, waited: Duration, is_watcher: bool) -> Duration {
+        let continues_batch = self.is_batching && waited < QUIET_PERIOD;
+        self.is_batching = true;
+        match (continues_batch, is_watcher) {
+            (false, _) => FIRST_BATCH_PAUSE,
+            (true, true) => REPEATED_BATCH_PAUSE,
+            (true, false) => REPEATED_BATCH_PAUSE_NON_WATCHER,
         }
     }
 
-    /// A call failed. Returns how long to pause before the next.
-    pub fn failed(&mut self, error: &RowStoreError) -> Duration {
+    /// Records a failed call and returns the pause before the next one.
+    pub fn record_failure(&mut self, error: &RowStoreError) -> Duration {
         if *error == RowStoreError::HistoryGone {
-            self.whole = false;
+            self.has_history = false;
         }
-        let growth = 1_u32 << self.failures.min(4);
-        self.failures += 1;
-        self.answered = Some(0);
-        (FIRST_PAUSE * growth).min(LONGEST_PAUSE)
+        let growth = 1_u32 << self.consecutive_failures.min(4);
+        self.consecutive_failures += 1;
+        self.successes_since_failure = Some(0);
+        (MIN_BACKOFF * growth).min(MAX_BACKOFF)
     }
 
-    fn was_answered(&mut self) {
-        self.failures = 0;
-        self.answered = self.answered.map(|answered| answered + 1);
+    fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+        self.successes_since_failure = self.successes_since_failure.map(|successes| successes + 1);
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,36 +1,39 @@
-//! Typed clients of the platform's table, object store and host list, and the
-//! accepting of settings on top of them.
+//! Typed clients of the platform's table, object store and host list, and the settings
+//! acceptance protocol built on them.
 //!
-//! The platform is the only thing that lasts. It has outages, its reads may be
-//! old, its host list lags, and the reply to a write may be lost after the write
-//! took effect; every function here says which of these it can tell apart.
+//! The platform holds the only persistent state. It may have outages, serve stale reads,
+//! lag behind in its host list, or lose the reply to a write that it has applied. Each
+//! function documents which of these cases it can distinguish.
 
+mod accept;
 mod api;
 mod client;
 mod error;
+mod feed_role;
 mod follower;
-mod own_row;
-mod release;
-mod row_copy;
+mod owned_row;
 mod row_store;
 mod rows;
-mod standby;
+mod table_replica;
 
+pub use accept::{AcceptRequest, Accepted, accept, accepted_change, history, read_tree};
 pub use api::{
     HostEntry, HostPage, HostState, NO_ROW, Put, ReadReply, ReadRequest, Row, ScanRequest, Txn,
     TxnReply, VersionCheck,
 };
 pub use client::{Platform, PlatformBuilder};
 pub use error::{AcceptError, PlatformError};
-pub use follower::{Ask, Follower};
-pub use own_row::OwnRow;
-pub use release::{AcceptRequest, Accepted, accept, accepted_change, history, read_tree};
-pub use row_copy::{DeltaTaken, KeyAsk, KeyReply, Missing, RowCopy, RowDelta, RowDigest};
+pub use feed_role::{FeedRole, MemberStatus, feed_role};
+pub use follower::{FeedRequest, Follower};
+pub use owned_row::OwnedRow;
 pub use row_store::{
-    Answering, RowStore, RowStoreError, RowVersion, RowWrite, RowsAt, StoreCall, StoredRow,
+    ResponseProgress, RowStore, RowStoreError, RowVersion, RowWrite, StoreFuture, StoredRow,
+    VersionedRows,
 };
 pub use rows::{
     AuditEntry, ClaimRow, GenerationRow, Pointer, UnsettledRow, audit_key, claim_key,
     generation_key, keys, unsettled_key,
 };
-pub use standby::{Duty, Standing, duty};
+pub use table_replica::{
+    DeltaOutcome, KeyReply, KeyRequest, Missing, RowDelta, RowDigest, TableReplica,
+};
--- a/crates/store/src/row_store.rs
+++ b/crates/store/src/row_store.rs
@@ -1,5 +1,4 @@
-//! A store of versioned rows that can be followed by a feed: what the product
-//! asks of it, whoever provides it.
+//! Interface to a store of versioned rows with a change feed, independent of its provider.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,99 +7,100 @@
 
 use thiserror::Error;
 
-/// Version of a row or of a whole table's state. It rises with every change.
+/// Version of a row or of a table. It increases with every change.
 pub type RowVersion = u64;
 
-/// A call to the store in progress.
-pub type StoreCall<'a, T> = Pin<Box<dyn Future<Output = Result<T, RowStoreError>> + Send + 'a>>;
+/// Future returned by the calls of a [`RowStore`].
+pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, RowStoreError>> + Send + 'a>>;
 
-/// One row as the store holds it.
+/// A row as stored.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredRow {
-    /// Its key in its table.
+    /// Key of the row within its table.
     pub key: String,
-    /// Its value; absent where the row was removed.
+    /// Value of the row; `None` if the row was removed.
     pub value: Option<Vec<u8>>,
-    /// Version of the change that made it so.
+    /// Version of the change that wrote or removed the row.
     pub version: RowVersion,
 }
 
-/// Rows with the version of the state they belong to.
+/// Rows together with the table version up to which they were read.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct RowsAt {
-    /// The rows.
+pub struct VersionedRows {
+    /// All rows of the table, or the changed ones.
     pub rows: Vec<StoredRow>,
-    /// Version of the state.
+    /// Version of the table.
     pub version: RowVersion,
 }
 
-/// A change of one row under a condition.
+/// A conditional write of one row.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RowWrite {
     /// Table of the row.
     pub table: String,
     /// Key of the row.
     pub key: String,
-    /// Version that the row must have; 0 where it must be absent.
+    /// Version that the row must have; 0 if it must not exist.
     pub expected: RowVersion,
-    /// The value to put.
+    /// New value of the row.
     pub value: Vec<u8>,
 }
 
-/// Why a call to the store brought nothing.
+/// A failed call to the store.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum RowStoreError {
-    /// The store refused the call; nothing was done.
-    #[error("refused: {0}")]
+    /// The store rejected the call, or it could not be sent; nothing was written.
+    #[error("request rejected: {0}")]
     Refused(String),
-    /// No answer came; a write may have been done, or may be done later.
-    #[error("no answer: {0}")]
+    /// No response was received; a write may have been applied, or may still be applied later.
+    #[error("no response from the store: {0}")]
     Unanswered(String),
-    /// The changes asked for are no longer kept.
-    #[error("the history asked for is gone")]
+    /// The store no longer retains the requested changes.
+    #[error("the requested change history is no longer available")]
     HistoryGone,
     /// The row does not have the expected version.
-    #[error("the row has another version")]
+    #[error("version conflict: the row does not have the expected version")]
     Conflict {
-        /// The row as it is; absent where there is none.
+        /// Current row; `None` if it does not exist.
         current: Option<StoredRow>,
     },
-    /// The answer cannot be read.
-    #[error("malformed answer: {0}")]
+    /// The response cannot be decoded.
+    #[error("malformed response from the store: {0}")]
     Malformed(String),
 }
 
-/// Whether the answer of a call has begun to come.
+/// Shows whether the response to a call has started to arrive.
 #[derive(Debug, Default)]
-pub struct Answering(AtomicBool);
+pub struct ResponseProgress(AtomicBool);
 
-impl Answering {
-    /// Its first bytes came.
-    pub fn begin(&self) {
+impl ResponseProgress {
+    /// Records that the first bytes of the response have arrived.
+    pub fn mark_started(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Whether they did.
-    pub fn has_begun(&self) -> bool {
+    /// Whether the first bytes of the response have arrived.
+    pub fn has_started(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A store of versioned rows. Answers may be old after history was lost.
+/// A store of versioned rows. Responses may be stale after the store has lost history.
 pub trait RowStore: Send + Sync {
-    /// All rows of a table.
-    fn read<'a>(&'a self, table: &'a str) -> StoreCall<'a, RowsAt>;
+    /// Reads all rows of a table.
+    fn read<'a>(&'a self, table: &'a str) -> StoreFuture<'a, VersionedRows>;
 
-    /// Rows of a table that changed after a version, as soon as there are any;
-    /// none where `wait` passes without a change. The answer says when it begins.
+    /// Long-polls for rows of a table that changed after a version. Returns as soon as
+    /// there are any, or no rows if none changes within `wait`. Marks `progress` when the
+    /// response starts to arrive.
     fn changes<'a>(
         &'a self,
         table: &'a str,
         after: RowVersion,
         wait: Duration,
-        answering: &'a Answering,
-    ) -> StoreCall<'a, RowsAt>;
+        progress: &'a ResponseProgress,
+    ) -> StoreFuture<'a, VersionedRows>;
 
     /// Writes one row if its condition holds, and returns its new version.
-    fn write(&self, write: RowWrite) -> StoreCall<'_, RowVersion>;
+    fn write(&self, write: RowWrite) -> StoreFuture<'_, RowVersion>;
 }
--- a/crates/store/src/rows.rs
+++ b/crates/store/src/rows.rs
@@ -1,11 +1,11 @@
-//! The rows that the system keeps in the table, and their keys.
+//! Rows stored in the platform's table, and their keys.
 
 use lynxcleat_settings::{Change, Digest};
 use serde::{Deserialize, Serialize};
 
 /// Fixed keys and prefixes.
 pub mod keys {
-    /// The pointer to the generation in force.
+    /// Key of the [`super::Pointer`] row.
     pub const POINTER: &str = "settings/pointer";
     /// Prefix of [`super::GenerationRow`].
     pub const GENERATIONS: &str = "settings/generation/";
@@ -13,95 +13,96 @@
     pub const AUDIT: &str = "audit/change/";
     /// Prefix of [`super::UnsettledRow`].
     pub const UNSETTLED: &str = "audit/unsettled/";
-    /// Prefix of requests that are quarantined, by fingerprint.
+    /// Prefix of quarantined requests, followed by the request fingerprint.
     pub const QUARANTINE: &str = "quarantine/";
     /// Prefix of [`super::ClaimRow`].
     pub const CLAIMS: &str = "once/claim/";
 }
 
-/// The generation in force. The only row that decides it.
+/// Pointer to the generation in force. This row alone determines which generation that is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pointer {
-    /// Number of the generation.
+    /// Generation number.
     pub generation: u64,
-    /// Digest of its tree.
+    /// Digest of the generation's tree.
     pub digest: Digest,
 }
 
-/// How a generation came about. Written with the pointer, never changed.
+/// Record of an accepted generation. Written in the same transaction as the pointer and never
+/// changed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GenerationRow {
-    /// Number of the generation.
+    /// Generation number.
     pub generation: u64,
-    /// Digest of its tree.
+    /// Digest of the generation's tree.
     pub digest: Digest,
-    /// Id of the change that made it.
+    /// ID of the change that created the generation.
     pub change_id: String,
-    /// The operator.
+    /// Operator who made the change.
     pub who: String,
-    /// The operator's clock, in milliseconds since 1970.
+    /// Time on the operator's clock, in milliseconds since the Unix epoch.
     pub when_ms: u64,
-    /// Why, in the operator's words.
+    /// Operator's description of the change.
     pub note: String,
     /// Number of changed paths.
     pub changes: usize,
 }
 
-/// One changed path in the audit trail.
+/// Audit record of one changed path.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AuditEntry {
-    /// Generation that the change made.
+    /// Generation that the change created.
     pub generation: u64,
-    /// Id of the change.
+    /// ID of the change.
     pub change_id: String,
-    /// The operator.
+    /// Operator who made the change.
     pub who: String,
-    /// The operator's clock, in milliseconds since 1970.
+    /// Time on the operator's clock, in milliseconds since the Unix epoch.
     pub when_ms: u64,
     /// Digest of the tree after the change.
     pub digest: Digest,
-    /// The path with its old and new value.
+    /// Changed path with its old and new values.
     pub change: Change,
 }
 
-/// An operation whose outcome the system could not settle.
+/// An operation whose outcome could not be determined.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UnsettledRow {
-    /// The daemon that reports it.
+    /// Host of the daemon that reports the operation.
     pub host: String,
-    /// Service of the operation.
+    /// Service that the operation was sent to.
     pub service: String,
-    /// The operation's ticket.
+    /// Ticket of the operation.
     pub ticket: String,
-    /// Why it could not be settled.
+    /// Reason why the outcome could not be determined.
     pub reason: String,
-    /// The daemon's clock, in milliseconds since 1970.
+    /// Time on the daemon's clock, in milliseconds since the Unix epoch.
     pub when_ms: u64,
 }
 
-/// The ticket under which a plain idempotency key runs.
+/// Ticket assigned to an idempotency key that was sent without a ticket.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRow {
-    /// Text of the ticket.
+    /// Ticket in text form.
     pub ticket: String,
 }
 
-/// Key of a generation; numbers are padded so that keys sort as numbers do.
+/// Key of a [`GenerationRow`]. The number is zero-padded so that keys sort in numeric order.
 pub fn generation_key(generation: u64) -> String {
     format!("{}{generation:020}", keys::GENERATIONS)
 }
 
-/// Key of one changed path of a generation.
+/// Key of the [`AuditEntry`] of one changed path.
 pub fn audit_key(generation: u64, index: usize) -> String {
     format!("{}{generation:020}/{index:05}", keys::AUDIT)
 }
 
-/// Key of an unsettled operation.
+/// Key of an [`UnsettledRow`].
 pub fn unsettled_key(when_ms: u64, operation: &str) -> String {
     format!("{}{when_ms:020}/{operation}", keys::UNSETTLED)
 }
 
-/// Key of the claim of an idempotency key.
+/// Key of the [`ClaimRow`] of an idempotency key. The idempotency key is hashed.
 pub fn claim_key(service: &str, key: &str) -> String {
     format!("{}{service}/{}", keys::CLAIMS, Digest::of(key.as_bytes()))
 }
--- a/crates/store/src/row_copy.rs
+++ b/crates/store/src/table_replica.rs
@@ -1,17 +1,18 @@
-//! A copy of one table, kept from the store's answers and from what peers pass on.
+//! A replica of one table, updated from store responses and from changes forwarded by peers.
 //!
-//! Answers can be old after the store lost its history, and what peers pass on can be
-//! lost, repeated or out of order. So a row counts only if its version is above the one
-//! held, and the version up to which the copy is complete only rises.
+//! Store responses can be stale after the store has lost its history, and forwarded changes
+//! can be lost, duplicated or reordered. A row is therefore applied only if its version is
+//! higher than the one held, and the version up to which the replica is complete never
+//! decreases.
 //!
-//! A copy that was read whole does not know which rows were removed before. Its deltas carry a
-//! digest of the rows up to the version of that read. If the receiver's digest differs, the two
-//! compare per-bucket sums and then the keys in the buckets that differ, so that the cost of a
-//! missed removal does not include sending the whole table.
+//! A replica that was read as a whole table does not know which rows were removed before. Its
+//! deltas carry a digest of the rows up to the version of that read. If the receiver's digest
+//! differs, the two compare per-bucket sums and then the keys in the buckets that differ, so that
+//! the cost of a missed removal does not include sending the whole table.
 
 use std::collections::{BTreeMap, HashSet};
 
-use crate::row_store::{RowVersion, RowsAt, StoredRow};
+use crate::row_store::{RowVersion, StoredRow, VersionedRows};
 
 /// Number of hash buckets for the keys of a table. Must be the same at every daemon. The sums take
 /// 512 bytes in a request, before encoding.
@@ -26,12 +27,12 @@
     pub sum: u64,
 }
 
-/// What a peer knows of a table: all changes after one version and up to another.
+/// All changes of a table after one version and up to another, as known to a peer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RowDelta {
     /// Changes up to this version are excluded.
     pub after: RowVersion,
-    /// Nothing up to this version is missing.
+    /// Version up to which the delta is complete.
     pub through: RowVersion,
     /// The rows; a row that was removed after `after` has no value.
     pub rows: Vec<StoredRow>,
@@ -39,122 +40,123 @@
     pub digest: Option<RowDigest>,
 }
 
-/// What is missing after a delta was taken, so that it must be asked for.
+/// Data that is still missing after a delta was applied and must be requested from its sender.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Missing {
     /// Changes before the delta.
     Changes {
-        /// The version up to which the copy is complete.
+        /// Version up to which the replica is complete.
         after: RowVersion,
     },
-    /// Removals that the sender cannot list: keys have to be compared.
-    Removals(KeyAsk),
+    /// Removals that the sender cannot list, so that keys must be compared.
+    Removals(KeyRequest),
 }
 
 /// Request for the keys in the buckets that differ.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KeyAsk {
-    /// The version up to which the asker's copy is complete.
+pub struct KeyRequest {
+    /// Version up to which the requester's replica is complete.
     pub after: RowVersion,
-    /// Sums of the asker's buckets, indexed by bucket number.
+    /// Sums of the requester's buckets, indexed by bucket number.
     pub sums: Vec<u64>,
 }
 
-/// Reply to a [`KeyAsk`].
+/// Reply to a [`KeyRequest`].
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct KeyReply {
-    /// The changes after the asker's version.
+    /// Changes after the requester's version.
     pub delta: RowDelta,
     /// Numbers of the buckets that differ.
     pub buckets: Vec<u8>,
-    /// All keys in those buckets.
+    /// All keys of present rows in those buckets.
     pub keys: Vec<String>,
 }
 
-/// What became of a delta.
+/// Result of applying a delta.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct DeltaTaken {
-    /// Rows that were news.
-    pub news: Vec<StoredRow>,
-    /// What is still missing.
+pub struct DeltaOutcome {
+    /// Rows that changed in the replica.
+    pub changed: Vec<StoredRow>,
+    /// Data that is still missing.
     pub missing: Option<Missing>,
 }
 
-/// A copy of one table.
+/// A replica of one table.
 #[derive(Clone, Debug, Default)]
-pub struct RowCopy {
+pub struct TableReplica {
     rows: BTreeMap<String, StoredRow>,
     through: RowVersion,
-    /// Version of the last whole table that was taken. What was removed before it may never
-    /// have been heard of here, so a delta from before it needs a digest.
-    whole_at: RowVersion,
+    /// Removals up to this version may be unknown here: it is the version of the last whole
+    /// table applied, or of a delta from a peer with such a gap. Deltas that start before it
+    /// need a digest.
+    removals_known_after: RowVersion,
 }
 
-impl RowCopy {
-    /// The version up to which no change is missing.
+impl TableReplica {
+    /// Version up to which the replica is complete.
     pub fn through(&self) -> RowVersion {
         self.through
     }
 
-    /// The row under a key, as far as it is known; one that was removed has no value.
+    /// Returns the last known row of a key; a removed row has no value.
     pub fn row(&self, key: &str) -> Option<&StoredRow> {
         self.rows.get(key)
     }
 
-    /// Takes the whole table as the store told it. Returns its news: rows that changed,
-    /// and rows that are no longer there, without a value.
-    pub fn take_table(&mut self, table: RowsAt) -> Vec<StoredRow> {
-        let gone = self.missing_from(&table);
-        let mut news = self.take_rows(table.rows);
-        news.extend(self.take_rows(gone));
+    /// Applies a read of the whole table. Returns the rows that changed, and those that no
+    /// longer exist, without a value.
+    pub fn apply_snapshot(&mut self, table: VersionedRows) -> Vec<StoredRow> {
+        let removed = self.missing_from(&table);
+        let mut changed = self.apply_rows(table.rows);
+        changed.extend(self.apply_rows(removed));
         if table.version > self.through {
             self.through = table.version;
-            self.whole_at = table.version;
+            self.removals_known_after = table.version;
         }
-        news
+        changed
     }
 
-    /// Takes changes that the store told after [`RowCopy::through`], and returns those
-    /// that are news.
-    pub fn take_changes(&mut self, changes: RowsAt) -> Vec<StoredRow> {
+    /// Applies the store's changes after [`TableReplica::through`] and returns the rows that
+    /// changed in the replica.
+    pub fn apply_changes(&mut self, changes: VersionedRows) -> Vec<StoredRow> {
         self.through = self.through.max(changes.version);
-        self.take_rows(changes.rows)
+        self.apply_rows(changes.rows)
     }
 
-    /// Takes what a peer passed on.
-    pub fn take_delta(&mut self, delta: RowDelta) -> DeltaTaken {
-        let news = self.take_rows(delta.rows);
+    /// Applies a delta forwarded by a peer.
+    pub fn apply_delta(&mut self, delta: RowDelta) -> DeltaOutcome {
+        let changed = self.apply_rows(delta.rows);
         let missing = self.missing_after(delta.after, delta.digest);
         if missing.is_none() {
             self.advance_through(delta.through, delta.digest.is_some());
         }
-        DeltaTaken { news, missing }
+        DeltaOutcome { changed, missing }
     }
 
-    /// What is missing when the rows after a version were taken.
+    /// Returns the data that is missing after the rows of a delta were applied.
     fn missing_after(&self, after: RowVersion, digest: Option<RowDigest>) -> Option<Missing> {
         if after > self.through {
             let after = self.through;
             return Some(Missing::Changes { after });
         }
         let has_all = digest.is_none_or(|digest| digest == self.digest(digest.through));
-        (!has_all).then(|| Missing::Removals(self.key_ask()))
+        (!has_all).then(|| Missing::Removals(self.key_request()))
     }
 
-    fn key_ask(&self) -> KeyAsk {
-        KeyAsk {
+    fn key_request(&self) -> KeyRequest {
+        KeyRequest {
             after: self.through,
             sums: self.bucket_sums(),
         }
     }
 
-    /// Marks the copy as complete up to a version. `may_miss_removals` is set if removals before
-    /// that version may be unknown here, so that deltas from before it need a digest.
+    /// Marks the replica as complete up to a version. `may_miss_removals` is set if removals
+    /// before that version may be unknown here, so that deltas from before it need a digest.
     fn advance_through(&mut self, through: RowVersion, may_miss_removals: bool) {
         if through > self.through {
             self.through = through;
             if may_miss_removals {
-                self.whole_at = through;
+                self.removals_known_after = through;
             }
         }
     }
@@ -181,9 +183,9 @@
     }
 
     /// Answers a peer's request to compare keys.
-    pub fn key_reply(&self, ask: &KeyAsk) -> KeyReply {
+    pub fn key_reply(&self, request: &KeyRequest) -> KeyReply {
         let own_sums = self.bucket_sums();
-        let differs = |bucket: &usize| ask.sums.get(*bucket) != own_sums.get(*bucket);
+        let differs = |bucket: &usize| request.sums.get(*bucket) != own_sums.get(*bucket);
         let buckets: Vec<usize> = (0..BUCKETS).filter(differs).collect();
         let in_differing_bucket = |row: &&StoredRow| buckets.contains(&bucket_index(&row.key));
         let keys = self
@@ -193,22 +195,22 @@
         KeyReply {
             delta: RowDelta {
                 digest: None,
-                ..self.delta_after(ask.after)
+                ..self.delta_after(request.after)
             },
             keys: keys.collect(),
             buckets: buckets.iter().map(|bucket| *bucket as u8).collect(),
         }
     }
 
-    /// Takes a peer's reply to a key comparison. Rows in the compared buckets that are older than
-    /// the reply and not among its keys were removed. Returns the news.
-    pub fn take_keys(&mut self, reply: KeyReply) -> Vec<StoredRow> {
+    /// Applies a peer's reply to a key comparison. Rows in the compared buckets that are older
+    /// than the reply and not among its keys were removed. Returns the rows that changed.
+    pub fn apply_key_reply(&mut self, reply: KeyReply) -> Vec<StoredRow> {
         let KeyReply {
             delta,
             buckets,
             keys,
         } = reply;
-        let mut news = self.take_rows(delta.rows);
+        let mut changed = self.apply_rows(delta.rows);
         let keys: HashSet<String> = keys.into_iter().collect();
         let is_removed = |row: &&StoredRow| {
             let bucket = bucket_index(&row.key) as u8;
@@ -216,42 +218,44 @@
         };
         let removed = self.present().filter(is_removed);
         let removed: Vec<StoredRow> = removed.map(|row| removed_at(row, delta.through)).collect();
-        news.extend(self.take_rows(removed));
+        changed.extend(self.apply_rows(removed));
         if delta.after <= self.through {
             self.advance_through(delta.through, true);
         }
-        news
+        changed
     }
 
-    /// The changes after a version, for a peer that is complete up to there.
+    /// Returns the changes after a version, for a peer whose replica is complete up to it.
     pub fn delta_after(&self, after: RowVersion) -> RowDelta {
         let changed = self.rows.values().filter(|row| row.version > after);
         RowDelta {
             after,
             through: self.through,
             rows: changed.cloned().collect(),
-            digest: (after < self.whole_at).then(|| self.digest(self.whole_at)),
+            digest: (after < self.removals_known_after)
+                .then(|| self.digest(self.removals_known_after)),
         }
     }
 
-    fn take_rows(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
-        let mut news = Vec::new();
+    fn apply_rows(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
+        let mut changed = Vec::new();
         for row in rows {
             let held = self.rows.get(&row.key).map_or(0, |held| held.version);
-            // An old row that the whole table did not have was removed.
-            if row.version > held.max(self.whole_at) {
+            // The replica was complete at `removals_known_after`, so a row up to that version
+            // that it does not hold has been removed.
+            if row.version > held.max(self.removals_known_after) {
                 self.rows.insert(row.key.clone(), row.clone());
-                news.push(row);
+                changed.push(row);
             }
         }
-        news
+        changed
     }
 
-    /// Rows that are held, were there before this state, and are missing from it.
-    fn missing_from(&self, table: &RowsAt) -> Vec<StoredRow> {
-        let there: HashSet<&str> = table.rows.iter().map(|row| row.key.as_str()).collect();
+    /// Returns held rows, as removed, that are older than the given table and absent from it.
+    fn missing_from(&self, table: &VersionedRows) -> Vec<StoredRow> {
+        let keys: HashSet<&str> = table.rows.iter().map(|row| row.key.as_str()).collect();
         let held = self.present();
-        held.filter(|row| row.version < table.version && !there.contains(row.key.as_str()))
+        held.filter(|row| row.version < table.version && !keys.contains(row.key.as_str()))
             .map(|row| removed_at(row, table.version))
             .collect()
     }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of the platform's interfaces, with the platform's faults in a table.
+//! Contract tests of the platform client, including behaviour under platform faults.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     let standin = PlatformStandin::start("127.0.0.1:0").expect("platform");
     let client = Platform::builder(standin.url())
         .timeout_s(1)
-        .tries(2)
+        .max_attempts(2)
         .build();
     (standin, client)
 }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_transaction_takes_effect_whole_or_not_at_all() {
+fn transactions_are_atomic() {
     let (_standin, client) = platform();
     let first = client.write(&txn(&[("a", NO_ROW)], &[("a", 1), ("b", 1)]));
     assert!(first.expect("written").committed);
@@ -57,12 +57,12 @@
     assert!(client.write(&next).expect("written").committed);
     assert!(
         !client.write(&next).expect("answered").committed,
-        "only once"
+        "a transaction with a stale version check must not commit again"
     );
 }
 
 #[test]
-fn a_scan_goes_by_prefix_in_order_of_keys_page_by_page() {
+fn scans_return_pages_of_a_prefix_in_key_order() {
     let (_standin, client) = platform();
     client
         .write(&txn(&[], &[("x/3", 3), ("x/1", 1), ("y/1", 9), ("x/2", 2)]))
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn objects_are_checked_against_their_digest() {
+fn get_object_verifies_the_digest() {
     let (_standin, client) = platform();
     let digest = Digest::of(b"content");
     let missing = client.get_object(&digest);
@@ -90,7 +90,7 @@
         .expect("stored");
     let wrong = client.get_object(&digest);
     assert!(
-        matches!(wrong, Err(PlatformError::WrongDigest(_))),
+        matches!(wrong, Err(PlatformError::DigestMismatch(_))),
         "{wrong:?}"
     );
     client.put_object(&digest, b"content").expect("stored");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_host_list_is_read_by_changes_and_lags() {
+fn host_list_changes_are_paged_and_may_lag() {
     let (standin, client) = platform();
     let entry = |n: u32, state| HostEntry {
         host: format!("h{n}"),
@@ -136,13 +136,14 @@
     assert_eq!(names, BTreeSet::from(["h0"]));
 }
 
-/// What a write says, and whether it took effect all the same.
+/// A failed write must report whether it may have been applied. Cases: the fault, whether the
+/// call fails, and whether the write is applied.
 #[rstest]
 #[case::down(PlatformFaults { down: true, ..PlatformFaults::default() }, true, false)]
 #[case::reply_lost(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() }, true, true)]
 #[case::slow(PlatformFaults { delay_ms: 1_500, ..PlatformFaults::default() }, true, true)]
-#[case::a_little_slow(PlatformFaults { delay_ms: 100, ..PlatformFaults::default() }, false, true)]
-fn a_write_that_fails_says_whether_it_may_have_applied(
+#[case::slow_within_timeout(PlatformFaults { delay_ms: 100, ..PlatformFaults::default() }, false, true)]
+fn failed_writes_report_whether_they_may_have_applied(
     #[case] faults: PlatformFaults,
     #[case] fails: bool,
     #[case] applied: bool,
@@ -164,16 +165,16 @@
 }
 
 #[test]
-fn a_platform_that_is_not_there_was_sent_nothing() {
+fn a_refused_connection_proves_that_nothing_was_sent() {
     let (standin, client) = platform();
     let address = standin.url().replace("http://", "");
     drop(standin);
-    // A listener that is closing resets what is still in its queue: that is a platform that
-    // may have been sent something.
-    let is_gone = || std::net::TcpStream::connect(&address).is_err();
+    // A closing listener resets connections in its backlog, and after a reset the request may
+    // have been sent. Wait until connections are refused.
+    let refuses_connections = || std::net::TcpStream::connect(&address).is_err();
     assert!(lynxcleat_standin::wait_until(
         std::time::Duration::from_secs(3),
-        is_gone
+        refuses_connections
     ));
     let refused = client
         .write(&txn(&[], &[("w", 1)]))
@@ -186,15 +187,18 @@
 }
 
 #[test]
-fn reads_are_tried_again_and_old_rows_are_served_as_they_were() {
+fn reads_may_be_stale_and_report_an_outage() {
     let (standin, client) = platform();
     client.write(&txn(&[], &[("r", 1)])).expect("written");
     standin.set_faults(PlatformFaults {
         stale_reads_ms: 60_000,
         ..PlatformFaults::default()
     });
-    assert!(client.read_one("r").expect("read").is_none(), "as it was");
-    // The condition of a write is checked against the row as it is.
+    assert!(
+        client.read_one("r").expect("read").is_none(),
+        "the stale read predates the row"
+    );
+    // The version check of a write uses the current row even while reads are stale.
     assert!(
         !client
             .write(&txn(&[("r", NO_ROW)], &[("r", 2)]))
@@ -210,6 +214,6 @@
     assert_eq!(
         standin.counts().reads,
         reads,
-        "a platform that is down counts nothing"
+        "the stand-in does not count reads while it is down"
     );
 }
