--- a/crates/daemon/src/settings/catch_up.rs
+++ b/crates/daemon/src/settings/catch_up.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lynxcleat_policy::{NextSource, SettingsSource, SettingsSourceSelector};
-use lynxcleat_settings::{CopyError, CopyStep, Digest, Generation, OfferError, Tree, TreeCopy};
+use lynxcleat_settings::{CopyError, CopyProgress, Digest, Generation, OfferError, Tree, TreeCopy};
 use lynxcleat_wire::{CodecError, Frame, SettingsAsk, SettingsPart, SettingsReply};
 use rand::RngExt;
 use thiserror::Error;
@@ -91,7 +91,7 @@
                 }
             },
             Asked::Busy(after) => tokio::time::sleep(after).await,
-            Asked::UnknownBase => copy.base_is_unknown(),
+            Asked::UnknownBase => copy.discard_base(),
             Asked::Failed(_) => return None,
         }
     }
@@ -177,7 +177,7 @@
                 let after = after.mul_f64(1.0 + draw());
                 self.sources.mark_busy(now, link.id, after);
             }
-            Asked::UnknownBase => self.copy.base_is_unknown(),
+            Asked::UnknownBase => self.copy.discard_base(),
             Asked::Failed(outcome) => {
                 log::info!(peer = link.peer.host.as_str(), outcome; "settings asked of a peer");
                 self.sources.mark_failed(now, link.id);
@@ -223,10 +223,10 @@
 /// Takes a part. Returns the generation once it is whole.
 fn take(copy: &mut TreeCopy, part: &SettingsPart) -> Result<Option<Generation>, PartError> {
     let stated = Digest::from_hex(part.entries_digest.as_str());
-    let step = copy.take(part.generation, &stated, part.unpack()?)?;
+    let step = copy.apply(part.generation, &stated, part.unpack()?)?;
     Ok(match step {
-        CopyStep::More => None,
-        CopyStep::Whole(tree) => Some(Generation {
+        CopyProgress::Incomplete => None,
+        CopyProgress::Complete(tree) => Some(Generation {
             number: part.generation,
             digest: Digest::from_hex(part.digest.as_str()),
             tree,
@@ -236,7 +236,7 @@
 
 async fn ask(core: &Core, link: &Link, copy: &TreeCopy) -> Asked {
     let in_force = core.settings.number();
-    let wanted = copy.ask();
+    let wanted = copy.request();
     let asked = link.ask(|ask| Frame::AskSettings(SettingsAsk::new(ask, in_force, &wanted)));
     let (outcome, asked) = match tokio::time::timeout(PART_LIMIT, asked).await {
         Ok(Ok(Frame::Settings { reply, .. })) => match reply {
--- a/crates/daemon/src/settings/serve.rs
+++ b/crates/daemon/src/settings/serve.rs
@@ -1,6 +1,6 @@
 //! Answering peers that ask for settings.
 
-use lynxcleat_settings::{CopyAsk, CopyBase, Tree, TreePart};
+use lynxcleat_settings::{CopyBase, CopyRequest, Tree, TreePart};
 use lynxcleat_wire::{CodecError, Frame, SettingsAsk, SettingsPart, SettingsReply};
 
 use super::state::InForce;
@@ -57,7 +57,7 @@
 }
 
 /// What a peer lacks; nothing where the tree that it has is not known here.
-fn part_for(core: &Core, tree: &Tree, wanted: &CopyAsk) -> Option<TreePart> {
+fn part_for(core: &Core, tree: &Tree, wanted: &CopyRequest) -> Option<TreePart> {
     match &wanted.base {
         CopyBase::Units(sums) => Some(tree.part_by_sums(wanted.first, sums, PART_BYTES)),
         CopyBase::Tree(digest) => {
--- a/crates/daemon/src/settings/state.rs
+++ b/crates/daemon/src/settings/state.rs
@@ -44,8 +44,8 @@
         let same_levels = before.filter(|before| before.generation.tree.has_levels_of(tree));
         let own = same_levels.map(|before| Arc::clone(&before.own));
         let services = same_levels.map(|before| lock(&before.services).clone());
-        let routes = before.map(|before| before.routes.followed_by(tree));
-        let keys = before.map(|before| before.keys.followed_by(tree));
+        let routes = before.map(|before| before.routes.updated_for(tree));
+        let keys = before.map(|before| before.keys.updated_for(tree));
         InForce {
             own: own.unwrap_or_else(|| Arc::new(Effective::of(tree, place, service))),
             routes: routes.unwrap_or_else(|| RouteTable::of(tree)),
--- a/crates/daemon/tests/large_bodies/router.rs
+++ b/crates/daemon/tests/large_bodies/router.rs
@@ -130,7 +130,7 @@
                 assert_eq!(piece.last, got.len() == sent.len());
             }
             assert_eq!(got.len(), before + granted as usize);
-            let asked = SettingsAsk::new(1, u64::MAX, &TreeCopy::of(&Tree::default()).ask());
+            let asked = SettingsAsk::new(1, u64::MAX, &TreeCopy::of(&Tree::default()).request());
             peer.send(Frame::AskSettings(asked)).await;
             loop {
                 match peer.receive().await {
--- a/crates/settings/benches/change.rs
+++ b/crates/settings/benches/change.rs
@@ -1,15 +1,15 @@
-//! What one changed weight and one lookup cost, by the number of routes.
+//! Cost of changing one weight, of one lookup and of a full rebuild, by the number of routes.
 
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lynxcleat_settings::{
-    CopyStep, Route, RouteEffects, RoutePart, RouteTable, Tree, TreeCopy, TreeEdit,
+    CopyProgress, Route, RouteEffects, RoutePart, RouteTable, Tree, TreeCopy, TreeEdit,
 };
 use serde_json::json;
 
 const ROUTES: [usize; 5] = [10, 100, 1_400, 5_600, 14_000];
-/// As a daemon sends at once.
+/// Size limit of a part, as in the daemon.
 const PART_BYTES: usize = 32 << 10;
 
 fn route(number: usize, weight: u32) -> Route {
@@ -34,30 +34,30 @@
 
 fn tree(routes: usize) -> Tree {
     let nested = json!({"places": {"east": {"services": {"stock": {}, "price": {}}}}});
-    let mut edit = TreeEdit::of(&Tree::from_json(&nested).expect("good"));
+    let mut edit = TreeEdit::of(&Tree::from_json(&nested).expect("valid"));
     for number in 0..routes {
         let name = format!("r-{number}");
-        edit.put_route(&name, route(number, 90)).expect("good");
+        edit.put_route(&name, route(number, 90)).expect("valid");
     }
-    edit.finish().expect("good")
+    edit.finish().expect("valid")
 }
 
 fn changed(before: &Tree) -> Tree {
     let mut edit = TreeEdit::of(before);
-    edit.put_route("r-7", route(7, 80)).expect("good");
-    edit.finish().expect("good")
+    edit.put_route("r-7", route(7, 80)).expect("valid");
+    edit.finish().expect("valid")
 }
 
-/// All of one change at a daemon that is sent it: the difference, the copy, its checks and
-/// digest, and the lookups.
-fn take(before: &Tree, table: &RouteTable, after: &Tree) -> RouteTable {
+/// All work for one change, from the source's diff to the receiver's copy, validation, digest and
+/// lookup table.
+fn apply_change(before: &Tree, table: &RouteTable, after: &Tree) -> RouteTable {
     let mut copy = TreeCopy::of(before);
-    let part = after.part_since(before, copy.ask().first, PART_BYTES);
-    let taken = copy.take(2, &after.entries_digest(), part);
-    let Ok(CopyStep::Whole(tree)) = taken else {
-        panic!("one part is the whole");
+    let part = after.part_since(before, copy.request().first, PART_BYTES);
+    let progress = copy.apply(2, &after.entries_digest(), part);
+    let Ok(CopyProgress::Complete(tree)) = progress else {
+        panic!("expected a single part to complete the copy");
     };
-    table.followed_by(&tree)
+    table.updated_for(&tree)
 }
 
 fn one_weight(c: &mut Criterion) {
@@ -67,7 +67,7 @@
         let after = changed(&before);
         let table = RouteTable::of(&before);
         group.bench_with_input(BenchmarkId::from_parameter(routes), &routes, |b, _| {
-            b.iter(|| black_box(take(&before, &table, &after)));
+            b.iter(|| black_box(apply_change(&before, &table, &after)));
         });
     }
     group.finish();
@@ -85,14 +85,14 @@
     group.finish();
 }
 
-fn all_anew(c: &mut Criterion) {
+fn rebuild(c: &mut Criterion) {
     let mut group = c.benchmark_group("all-anew");
     group.sample_size(10);
     for routes in ROUTES {
         let text = tree(routes).to_json().to_string();
         group.bench_with_input(BenchmarkId::from_parameter(routes), &text, |b, text| {
             b.iter(|| {
-                let tree = Tree::parse(text).expect("good");
+                let tree = Tree::parse(text).expect("valid");
                 black_box((tree.entries_digest(), RouteTable::of(&tree)))
             });
         });
@@ -100,5 +100,5 @@
     group.finish();
 }
 
-criterion_group!(benches, one_weight, lookup, all_anew);
+criterion_group!(benches, one_weight, lookup, rebuild);
 criterion_main!(benches);
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,9 +1,8 @@
-//! Differences between two trees, and the merge of two edits of one base.
+//! Diff of two trees and three-way merge of two edits of one base.
 //!
-//! The merge goes by path: edits of different paths both stand, and the same
-//! path set to different values is a conflict that shows both. A merge by path
-//! cannot see that two edits contradict in meaning, so the merged tree is
-//! checked again as a whole.
+//! Trees are merged by path: edits of different paths are combined, and a path set to different
+//! values is a conflict that reports both. A merge by path does not detect that two edits
+//! contradict each other in meaning, so the whole merged tree is validated again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -20,14 +19,14 @@
 use crate::route::NamedRoute;
 use crate::tree::Tree;
 
-/// One path whose value differs between two trees.
+/// A path whose value differs between two trees.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
     /// Path of the field or level.
     pub path: String,
-    /// Value before; absent where the path was not set.
+    /// Value in the old tree; `None` if the path was not set.
     pub old: Option<Value>,
-    /// Value after; absent where the path is no longer set.
+    /// Value in the new tree; `None` if the path is not set.
     pub new: Option<Value>,
 }
 
@@ -47,38 +46,38 @@
     }
 }
 
-/// Why two edits of one base cannot both stand.
+/// Reason why two edits of one base cannot be merged.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum Conflict {
     /// Both edits changed the same path to different values.
     #[error("both edits change {}; already accepted: {theirs}; yours: {mine}", mine.path)]
     SamePath {
-        /// The change already accepted.
+        /// The accepted change.
         theirs: Box<Change>,
-        /// The change refused.
+        /// The rejected change.
         mine: Box<Change>,
     },
-    /// One edit removed a level in which the other set a field.
+    /// One edit removed a level in which the other edit set a field.
     #[error("{path} is set in a place or service that the other edit removed")]
     LevelRemoved {
-        /// The path left without its level.
+        /// Path of the field whose level is missing.
         path: String,
     },
-    /// The merged tree does not pass the checks.
-    #[error("the merged tree is refused: {0}")]
+    /// The merged tree is invalid.
+    #[error("the merged tree is invalid: {0}")]
     Refused(#[from] SettingsError),
 }
 
-/// The changes that lead from `old` to `new`, sorted by path.
+/// Returns the changes from `old` to `new`, sorted by path.
 pub fn diff(old: &Tree, new: &Tree) -> Vec<Change> {
-    let mut changes = level_changes(old, new);
-    changes.extend(entry_changes::<NamedRoute>(old, new));
-    changes.extend(entry_changes::<NamedOrganisation>(old, new));
+    let mut changes = diff_levels(old, new);
+    changes.extend(diff_entries::<NamedRoute>(old, new));
+    changes.extend(diff_entries::<NamedOrganisation>(old, new));
     changes.sort_by(|one, other| one.path.cmp(&other.path));
     changes
 }
 
-fn level_changes(old: &Tree, new: &Tree) -> Vec<Change> {
+fn diff_levels(old: &Tree, new: &Tree) -> Vec<Change> {
     let paths: BTreeSet<&String> = old.entries().keys().chain(new.entries().keys()).collect();
     paths
         .into_iter()
@@ -91,7 +90,7 @@
         .collect()
 }
 
-fn entry_changes<E: Entry>(old: &Tree, new: &Tree) -> Vec<Change> {
+fn diff_entries<E: Entry>(old: &Tree, new: &Tree) -> Vec<Change> {
     let changes = EntrySet::changes(E::set_of(old), E::set_of(new)).into_iter();
     let change = |change: EntryChange<E>| {
         let json = |entry: &Arc<E>| entry.to_json();
@@ -105,7 +104,7 @@
     changes.filter_map(change).collect()
 }
 
-/// Puts the entry with content `new`, or removes it if `new` is absent.
+/// Adds or replaces the entry with content `new`, or removes it if `new` is `None`.
 fn apply_entry_change<E: Entry>(
     edit: &mut TreeEdit,
     name: &str,
@@ -118,10 +117,10 @@
     Ok(())
 }
 
-/// Puts the edit `base` → `mine` on top of `theirs`.
+/// Applies the changes from `base` to `mine` to `theirs`.
 ///
 /// # Errors
-/// A [`Conflict`] where both edits cannot stand.
+/// Fails with a [`Conflict`] if the edits cannot be merged.
 pub fn merge(base: &Tree, theirs: &Tree, mine: &Tree) -> Result<Tree, Conflict> {
     let their_changes: BTreeMap<String, Change> = diff(base, theirs)
         .into_iter()
@@ -152,7 +151,7 @@
     Ok(Tree::from_entries(entries, named_entries.tree())?)
 }
 
-/// Every entry below a place or service needs that level to be present.
+/// Checks that every path below a place or service has that level in the tree.
 fn check_levels(entries: &BTreeMap<String, Value>) -> Result<(), Conflict> {
     for path in entries.keys().filter(|path| path.starts_with("places.")) {
         let parts: Vec<&str> = path.split('.').collect();
--- a/crates/settings/src/copy.rs
+++ b/crates/settings/src/copy.rs
@@ -1,10 +1,10 @@
-//! Copying a tree part by part: the side that has a newer one sends the parts that differ.
+//! Incremental transfer of a tree: a source with a newer tree sends the parts that differ.
 //!
-//! A tree is divided into units: its levels, and each bucket of its routes and of its
-//! organisations. The side that wants a newer tree names the one that it has, and is sent what
-//! changed since, a bounded number of bytes at a time; where the other side does not know that
-//! tree, it states the sums of its units, and is sent those that differ. What it has got stays,
-//! whichever side sends the rest and whatever generation that side has by then.
+//! A tree is divided into units: its levels, each bucket of its routes and each bucket of its
+//! organisations. The receiver requests the changes since the tree that it has, identified by its
+//! digest, and gets them in parts of bounded size. If the source does not know that tree, the
+//! receiver sends the checksums of its units and gets the units that differ. Received parts are
+//! kept if the receiver switches to another source or the source moves to another generation.
 
 use std::sync::Arc;
 
@@ -20,12 +20,12 @@
 use crate::route::{NamedRoute, Route};
 use crate::tree::Tree;
 
-/// Unit of the levels, followed by the units of the route buckets and of the organisation buckets.
-const LEVELS: u16 = 0;
+/// Unit numbers: the levels, then the route buckets, then the organisation buckets.
+const LEVELS_UNIT: u16 = 0;
 const FIRST_ORGANISATION_UNIT: u16 = 1 + NamedRoute::BUCKETS as u16;
-const UNITS: u16 = FIRST_ORGANISATION_UNIT + NamedOrganisation::BUCKETS as u16;
+const UNIT_COUNT: u16 = FIRST_ORGANISATION_UNIT + NamedOrganisation::BUCKETS as u16;
 
-/// Content of a unit, by its number.
+/// Unit of a tree, decoded from its number.
 enum Unit {
     /// The settings of all levels.
     Levels,
@@ -38,64 +38,64 @@
 impl Unit {
     fn of(number: u16) -> Unit {
         match number {
-            LEVELS => Unit::Levels,
+            LEVELS_UNIT => Unit::Levels,
             bucket if bucket < FIRST_ORGANISATION_UNIT => Unit::Routes(bucket - 1),
             bucket => Unit::Organisations(bucket - FIRST_ORGANISATION_UNIT),
         }
     }
 }
 
-/// What the side that wants a tree has.
+/// What the receiver of a copy already has.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CopyBase {
-    /// A tree with this digest of its entries, and the parts that it was sent since.
+    /// A tree with this entries digest, plus the parts received since.
     Tree(Digest),
-    /// Units with these sums, from the first that is wanted on.
+    /// Units with these checksums, starting at the first requested unit.
     Units(Vec<u64>),
 }
 
-/// What is wanted next.
+/// Request for the next part of a tree.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CopyAsk {
-    /// The first unit that is wanted.
+pub struct CopyRequest {
+    /// The first requested unit.
     pub first: u16,
-    /// What is there already.
+    /// What the receiver already has.
     pub base: CopyBase,
 }
 
-/// An entry of a copied bucket.
+/// Entry of a copied bucket.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CopiedEntry<C> {
-    /// Its name.
+    /// Name of the entry.
     #[serde(rename = "n")]
     pub name: String,
-    /// Its content, without the name.
+    /// Content without the name.
     #[serde(rename = "c")]
     pub content: C,
 }
 
-/// One bucket, or what changed in it.
+/// A whole bucket, or the changes in a bucket.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CopiedBucket<C> {
-    /// Its number.
+    /// Index of the bucket.
     #[serde(rename = "b")]
     pub number: u16,
-    /// Its entries, or those that changed.
+    /// All entries, or the added and changed ones.
     #[serde(
         rename = "r",
         default = "Vec::new",
         skip_serializing_if = "Vec::is_empty"
     )]
     pub entries: Vec<CopiedEntry<C>>,
-    /// Names of the removed entries; absent if `entries` is the whole bucket.
+    /// Names of the removed entries; `None` if `entries` is the whole bucket.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub removed: Option<Vec<String>>,
 }
 
-/// Units of a tree that differ from what the other side has.
+/// Units of a tree that differ from those of the receiver.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TreePart {
-    /// Nested JSON text of the levels, where they differ.
+    /// Nested JSON text of the levels, if they differ.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub levels: Option<String>,
     /// Route buckets that differ.
@@ -104,21 +104,21 @@
     /// Organisation buckets that differ.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub organisations: Vec<CopiedBucket<Organisation>>,
-    /// The unit from which on nothing was compared; absent where all was.
+    /// The first unit that was not compared; `None` if all were.
     #[serde(rename = "n", default, skip_serializing_if = "Option::is_none")]
     pub next: Option<u16>,
 }
 
 impl Tree {
-    /// The first units that differ from some others by their sums, with no more bytes than
-    /// `limit` before the last of them.
+    /// Returns the first units from `first` on whose checksums differ from `sums`. No unit is added
+    /// once the part has `limit` bytes, so only the last unit may exceed the limit.
     pub fn part_by_sums(&self, first: u16, sums: &[u64], limit: usize) -> TreePart {
         let sum = |unit: u16| sums.get(usize::from(unit - first));
         let differs = |unit| sum(unit).is_some_and(|sum| *sum != self.unit_sum(unit));
         self.part(None, first, limit, differs)
     }
 
-    /// The same for what changed since another tree.
+    /// Like [`Tree::part_by_sums`], but returns the changes since `before`.
     pub fn part_since(&self, before: &Tree, first: u16, limit: usize) -> TreePart {
         let differs = |unit| before.unit_sum(unit) != self.unit_sum(unit);
         self.part(Some(before), first, limit, differs)
@@ -133,18 +133,18 @@
     ) -> TreePart {
         let mut part = TreePart::default();
         let mut bytes = 0;
-        for unit in (first..UNITS).filter(|unit| differs(*unit)) {
+        for unit in (first..UNIT_COUNT).filter(|unit| differs(*unit)) {
             if bytes >= limit {
                 part.next = Some(unit);
                 break;
             }
-            bytes += self.copy_unit(before, Unit::of(unit), &mut part);
+            bytes += self.add_unit(before, Unit::of(unit), &mut part);
         }
         part
     }
 
-    /// Adds a unit to a part, or only its changes since `before`. Returns the size in bytes.
-    fn copy_unit(&self, before: Option<&Tree>, unit: Unit, part: &mut TreePart) -> usize {
+    /// Adds a unit, or only its changes since `before`, to a part. Returns the size in bytes.
+    fn add_unit(&self, before: Option<&Tree>, unit: Unit, part: &mut TreePart) -> usize {
         match unit {
             Unit::Levels => {
                 let text = self.levels_json().to_string();
@@ -169,11 +169,13 @@
             Unit::Routes(bucket) => self.route_set().bucket_sum(usize::from(bucket)),
             Unit::Organisations(bucket) => self.organisation_set().bucket_sum(usize::from(bucket)),
         };
-        sum.short()
+        sum.low_bits()
     }
 
     fn unit_sums(&self, first: u16) -> Vec<u64> {
-        (first..UNITS).map(|unit| self.unit_sum(unit)).collect()
+        (first..UNIT_COUNT)
+            .map(|unit| self.unit_sum(unit))
+            .collect()
     }
 }
 
@@ -205,123 +207,128 @@
     (bucket, bytes)
 }
 
-/// Why a part was not taken, or the whole is not what it should be.
+/// Reason why a part or the complete copy was rejected.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum CopyError {
-    /// Its content does not pass the checks.
+    /// The content is invalid.
     #[error("{0}")]
     Refused(#[from] SettingsError),
-    /// The levels are not JSON.
-    #[error("the levels are not JSON: {0}")]
-    NotJson(String),
-    /// A bucket that no tree has, or an entry in a bucket that is not its own.
-    #[error("an entry or bucket out of place in bucket {0}")]
+    /// The levels are not valid JSON.
+    #[error("the levels are not valid JSON: {0}")]
+    InvalidJson(String),
+    /// The bucket index is out of range, or an entry belongs to another bucket.
+    #[error("bucket {0} is out of range or has an entry of another bucket")]
     Misplaced(u16),
-    /// All units were compared and the whole still has another digest.
-    #[error("the copy has digest {found}, its source {stated}")]
-    Differs {
+    /// The digest still differs after all units were compared.
+    #[error("digest mismatch: the copy has {found}, its source {expected}")]
+    DigestMismatch {
         /// Digest of the copy.
         found: Digest,
-        /// Digest that the source stated.
-        stated: Digest,
+        /// Digest announced by the source.
+        expected: Digest,
     },
 }
 
-/// Where a copy stands.
+/// State of a copy after a part was applied.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CopyStep {
-    /// More units are to be compared.
-    More,
-    /// The whole tree, checked.
-    Whole(Tree),
+pub enum CopyProgress {
+    /// More parts are needed.
+    Incomplete,
+    /// The complete, validated tree.
+    Complete(Tree),
 }
 
-/// A copy in the making.
+/// Receiver of an incremental copy.
 #[derive(Clone, Debug)]
 pub struct TreeCopy {
     edit: TreeEdit,
-    /// Digest of the tree that it began with, while all parts are of one generation.
+    /// Entries digest of the initial tree, while all parts belong to one generation.
     base: Option<Digest>,
     next: u16,
-    /// Generation with which the units before `next` were compared.
+    /// Generation that the units before `next` were compared with.
     generation: Option<u64>,
 }
 
 impl TreeCopy {
-    /// Begins with a tree that is there already.
+    /// Starts a copy from a tree that is already present.
     pub fn of(tree: &Tree) -> Self {
         let is_empty = *tree == Tree::default();
         TreeCopy {
             edit: TreeEdit::of(tree),
             base: (!is_empty).then(|| tree.entries_digest()),
-            next: LEVELS,
+            next: LEVELS_UNIT,
             generation: None,
         }
     }
 
-    /// What to ask of a source.
-    pub fn ask(&self) -> CopyAsk {
+    /// The request for the next part.
+    pub fn request(&self) -> CopyRequest {
         let units = || CopyBase::Units(self.edit.tree().unit_sums(self.next));
-        CopyAsk {
+        CopyRequest {
             first: self.next,
             base: self.base.clone().map_or_else(units, CopyBase::Tree),
         }
     }
 
-    /// A source does not know the tree that this copy began with: the units are compared.
-    pub fn base_is_unknown(&mut self) {
+    /// Requests parts by checksums from now on, because a source does not know the initial tree.
+    pub fn discard_base(&mut self) {
         self.base = None;
     }
 
-    /// Takes a part of a generation whose tree has the entries' digest `stated`.
+    /// Applies a part of a generation whose tree has the entries digest `expected`.
     ///
     /// # Errors
-    /// A part that cannot be taken, or a whole that is not what its source has; the copy is of
-    /// no use then.
-    pub fn take(
+    /// Fails if the part is invalid or the complete tree differs from that of the source. The copy
+    /// must be discarded then.
+    pub fn apply(
         &mut self,
         generation: u64,
-        stated: &Digest,
+        expected: &Digest,
         part: TreePart,
-    ) -> Result<CopyStep, CopyError> {
+    ) -> Result<CopyProgress, CopyError> {
         if let Some(levels) = part.levels {
             let nested: Value = serde_json::from_str(&levels)
-                .map_err(|error| CopyError::NotJson(error.to_string()))?;
+                .map_err(|error| CopyError::InvalidJson(error.to_string()))?;
             self.edit.set_levels(&nested)?;
         }
         for bucket in part.buckets {
-            self.take_bucket::<NamedRoute>(bucket)?;
+            self.apply_bucket::<NamedRoute>(bucket)?;
         }
         for bucket in part.organisations {
-            self.take_bucket::<NamedOrganisation>(bucket)?;
+            self.apply_bucket::<NamedOrganisation>(bucket)?;
         }
         let before = self.generation.replace(generation);
         if before.is_some_and(|before| before != generation) {
-            return Ok(self.compare_units());
+            return Ok(self.restart_comparison());
         }
         if let Some(next) = part.next {
             self.next = next;
-            return Ok(CopyStep::More);
+            return Ok(CopyProgress::Incomplete);
         }
-        match self.whole(stated) {
-            Err(CopyError::Differs { .. }) if self.base.is_some() => Ok(self.compare_units()),
-            whole => whole,
+        match self.complete(expected) {
+            Err(CopyError::DigestMismatch { .. }) if self.base.is_some() => {
+                Ok(self.restart_comparison())
+            }
+            result => result,
         }
     }
 
-    /// Any unit may differ: parts are of several generations, or did not fit the tree that the
-    /// copy began with.
-    fn compare_units(&mut self) -> CopyStep {
+    /// Restarts the comparison at the first unit, because any unit may differ: either the parts
+    /// belong to several generations, or they did not apply to the initial tree.
+    fn restart_comparison(&mut self) -> CopyProgress {
         self.base = None;
-        self.next = LEVELS;
-        CopyStep::More
+        self.next = LEVELS_UNIT;
+        CopyProgress::Incomplete
     }
 
-    fn take_bucket<E: Entry>(&mut self, bucket: CopiedBucket<E::Content>) -> Result<(), CopyError> {
+    fn apply_bucket<E: Entry>(
+        &mut self,
+        bucket: CopiedBucket<E::Content>,
+    ) -> Result<(), CopyError> {
         let number = usize::from(bucket.number);
-        let is_own =
+        let is_in_bucket =
             |copied: &CopiedEntry<E::Content>| EntrySet::<E>::bucket_of(&copied.name) == number;
-        if number >= E::BUCKETS || !bucket.entries.iter().all(is_own) {
+        if number >= E::BUCKETS || !bucket.entries.iter().all(is_in_bucket) {
             return Err(CopyError::Misplaced(bucket.number));
         }
         let present = E::set_of(self.edit.tree()).bucket(number);
@@ -337,19 +344,19 @@
         Ok(())
     }
 
-    fn whole(&self, stated: &Digest) -> Result<CopyStep, CopyError> {
+    fn complete(&self, expected: &Digest) -> Result<CopyProgress, CopyError> {
         let found = self.edit.tree().entries_digest();
-        if found != *stated {
-            return Err(CopyError::Differs {
+        if found != *expected {
+            return Err(CopyError::DigestMismatch {
                 found,
-                stated: stated.clone(),
+                expected: expected.clone(),
             });
         }
-        Ok(CopyStep::Whole(self.edit.clone().finish()?))
+        Ok(CopyProgress::Complete(self.edit.clone().finish()?))
     }
 }
 
-/// Names of the present entries that a copied bucket removes.
+/// Names of the `present` entries that applying a copied bucket removes.
 fn removed_names<E: Entry>(present: &[Arc<E>], bucket: &CopiedBucket<E::Content>) -> Vec<String> {
     if let Some(removed) = &bucket.removed {
         return removed.clone();
--- a/crates/settings/src/digest.rs
+++ b/crates/settings/src/digest.rs
@@ -1,5 +1,5 @@
-//! The digest under which a tree's content is stored. Content is immutable
-//! under its digest, so any copy can be checked by whoever receives it.
+//! Content digest of a tree, which is its key in the store. The content stored under a digest
+//! never changes, so a receiver can verify any copy of it.
 
 use std::fmt;
 
@@ -14,18 +14,18 @@
 pub struct Digest(String);
 
 impl Digest {
-    /// The digest of any bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(hex::encode(Sha256::digest(bytes)))
     }
 
-    /// A digest that somebody states. It is compared, never trusted, so any text
-    /// will do.
+    /// Wraps a digest received from elsewhere. The text is not validated, because it is only
+    /// compared with computed digests.
     pub fn from_hex(text: impl Into<String>) -> Digest {
         Digest(text.into())
     }
 
-    /// The hexadecimal text.
+    /// The digest as hexadecimal text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// The canonical text of a tree and its digest.
+/// Returns the canonical text of a tree and the digest of that text.
 pub fn digest(tree: &Tree) -> (String, Digest) {
     let text = tree.to_json().to_string();
     let digest = Digest::of(text.as_bytes());
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -1,4 +1,4 @@
-//! A tree in the making: another one with changes, checked when it is finished.
+//! Batched changes to a tree, validated together at the end.
 
 use std::sync::Arc;
 
@@ -11,37 +11,37 @@
 use crate::route::{NamedRoute, Route};
 use crate::tree::Tree;
 
-/// Changes of a tree that become one together. What they leave as it was is neither checked
-/// again nor copied.
+/// Builder that applies changes to a tree and validates the result. Unchanged parts are shared
+/// with the original tree and are not validated again.
 #[derive(Clone, Debug)]
 pub struct TreeEdit {
-    before: Tree,
+    base: Tree,
     tree: Tree,
 }
 
 impl TreeEdit {
-    /// No change of a tree yet.
+    /// Starts an edit of `tree` without changes.
     pub fn of(tree: &Tree) -> Self {
         TreeEdit {
-            before: tree.clone(),
+            base: tree.clone(),
             tree: tree.clone(),
         }
     }
 
-    /// The tree as it is now, of which what depends on each other is not checked.
+    /// The tree with the changes so far. Constraints between its parts are not checked yet.
     pub(crate) fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// Puts a route in the place of the one of its name.
+    /// Adds a route, replacing any of the same name.
     ///
     /// # Errors
-    /// A bad name, or a fault of the route.
+    /// Fails if the name or the route is invalid.
     pub fn put_route(&mut self, name: &str, route: Route) -> Result<(), SettingsError> {
         self.put::<NamedRoute>(name, route)
     }
 
-    /// Removes a route, if it is there.
+    /// Removes a route, if present.
     pub fn remove_route(&mut self, name: &str) {
         self.remove::<NamedRoute>(name);
     }
@@ -90,29 +90,28 @@
         E::set_of_mut(&mut self.tree).remove(name);
     }
 
-    /// Puts the settings of all levels in the place of the present ones, in their nested JSON
-    /// form.
+    /// Replaces the settings of all levels with those of the nested JSON form.
     ///
     /// # Errors
-    /// The first fault, with its path.
+    /// Fails with the first fault and its path.
     pub fn set_levels(&mut self, nested: &Value) -> Result<(), SettingsError> {
         let levels = Tree::levels_from_json(nested)?;
         self.tree.take_levels(&levels);
         Ok(())
     }
 
-    /// The tree with all changes.
+    /// Validates the changes and returns the resulting tree.
     ///
     /// # Errors
-    /// Changes that contradict each other or the rest.
+    /// Fails if the changes contradict each other or the rest of the tree.
     pub fn finish(mut self) -> Result<Tree, SettingsError> {
         self.tree.check_size()?;
-        match self.tree.has_levels_of(&self.before) {
-            true => self.tree.take_levels(&self.before),
+        match self.tree.has_levels_of(&self.base) {
+            true => self.tree.take_levels(&self.base),
             false => self.tree.check_levels()?,
         }
         homes::check(&self.tree)?;
-        if self.tree.organisation_set() != self.before.organisation_set() {
+        if self.tree.organisation_set() != self.base.organisation_set() {
             organisation::check_keys(self.tree.organisation_set())?;
         }
         Ok(self.tree)
--- a/crates/settings/src/entry_set.rs
+++ b/crates/settings/src/entry_set.rs
@@ -1,7 +1,7 @@
-//! Named entries of a tree, in buckets that are shared between trees.
+//! Copy-on-write set of the named entries of a tree, divided into hash buckets.
 //!
 //! Cloning a set copies one pointer per bucket, and changing an entry copies one bucket. Sets are
-//! compared by the sums of their buckets, so that equal buckets are skipped.
+//! compared by the checksums of their buckets, so that equal buckets are skipped.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+use crate::checksum::Checksum;
 use crate::error::{Fault, SettingsError};
-use crate::sum::Sum;
 use crate::tree::Tree;
 
 /// A named entry of a tree: a route or an organisation.
@@ -20,8 +20,8 @@
     type Content: Clone + DeserializeOwned + PartialEq + Serialize;
     /// Prefix of the entry paths in a tree, up to the name.
     const PATH_PREFIX: &'static str;
-    /// Number of buckets. All daemons must use the same number, because sums are exchanged per
-    /// bucket.
+    /// Number of buckets. All daemons must use the same number, because checksums are exchanged
+    /// per bucket.
     const BUCKETS: usize;
 
     /// Creates an entry if its name and content are valid.
@@ -63,8 +63,8 @@
 pub(crate) struct EntryMetadata {
     /// Hash of the name.
     pub(crate) hash: u32,
-    /// Sum over name and content.
-    pub(crate) sum: Sum,
+    /// Checksum of name and content.
+    pub(crate) sum: Checksum,
     /// Length of the content's JSON form, in bytes.
     pub(crate) bytes: usize,
 }
@@ -74,7 +74,7 @@
         let json = serde_json::to_vec(content).expect("content has string keys");
         EntryMetadata {
             hash: name_hash(name),
-            sum: Sum::of(name, &json),
+            sum: Checksum::of(name, &json),
             bytes: json.len(),
         }
     }
@@ -82,7 +82,7 @@
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Bucket<E> {
-    sum: Sum,
+    sum: Checksum,
     /// Sorted by the hash of the name, then by name.
     entries: Vec<Arc<E>>,
     /// Number of entries that name home regions.
@@ -92,7 +92,7 @@
 impl<E> Default for Bucket<E> {
     fn default() -> Self {
         Bucket {
-            sum: Sum::default(),
+            sum: Checksum::default(),
             entries: Vec::new(),
             with_homes: 0,
         }
@@ -116,7 +116,7 @@
 pub(crate) struct EntrySet<E> {
     buckets: Vec<Arc<Bucket<E>>>,
     count: usize,
-    sum: Sum,
+    sum: Checksum,
 }
 
 impl<E: Entry> Default for EntrySet<E> {
@@ -124,7 +124,7 @@
         EntrySet {
             buckets: (0..E::BUCKETS).map(|_| Arc::default()).collect(),
             count: 0,
-            sum: Sum::default(),
+            sum: Checksum::default(),
         }
     }
 }
@@ -200,12 +200,12 @@
         self.buckets.iter().any(|bucket| bucket.with_homes > 0)
     }
 
-    /// Sum over all entries.
-    pub(crate) fn sum(&self) -> Sum {
+    /// Checksum of all entries.
+    pub(crate) fn sum(&self) -> Checksum {
         self.sum
     }
 
-    pub(crate) fn bucket_sum(&self, bucket: usize) -> Sum {
+    pub(crate) fn bucket_sum(&self, bucket: usize) -> Checksum {
         self.buckets[bucket].sum
     }
 
@@ -216,18 +216,18 @@
     /// The entries that differ between two sets.
     pub(crate) fn changes(old: &Self, new: &Self) -> Vec<EntryChange<E>> {
         let both = old.buckets.iter().zip(&new.buckets);
-        let differ = both.filter(|(old, new)| !Arc::ptr_eq(old, new) && old.sum != new.sum);
-        differ
+        let differing = both.filter(|(old, new)| !Arc::ptr_eq(old, new) && old.sum != new.sum);
+        differing
             .flat_map(|(old, new)| bucket_changes(old, new))
             .collect()
     }
 
-    /// Entries of the bucket for names with this hash.
+    /// Entries of the bucket for names with the given hash.
     pub(crate) fn bucket_by_hash(&self, hash: u32) -> &[Arc<E>] {
         self.bucket(hash as usize % E::BUCKETS)
     }
 
-    /// Number of the bucket for a name.
+    /// Index of the bucket for a name.
     pub(crate) fn bucket_of(name: &str) -> usize {
         name_hash(name) as usize % E::BUCKETS
     }
@@ -250,7 +250,8 @@
     removed.chain(put).collect()
 }
 
-/// 32-bit FNV-1a hash of a name, identical at every daemon.
+/// 32-bit FNV-1a hash of a name. All daemons must compute the same hash, because buckets are
+/// exchanged by number.
 fn name_hash(name: &str) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
--- a/crates/settings/src/key_table.rs
+++ b/crates/settings/src/key_table.rs
@@ -30,13 +30,13 @@
 }
 
 impl KeyTable {
-    /// Builds the table of a tree.
+    /// Builds the lookup table of a tree.
     pub fn of(tree: &Tree) -> Self {
-        KeyTable::default().followed_by(tree)
+        KeyTable::default().updated_for(tree)
     }
 
-    /// Builds the table of a successor tree; the cost depends only on the differences.
-    pub fn followed_by(&self, tree: &Tree) -> Self {
+    /// Builds the table of another tree from this one; the cost depends only on the differences.
+    pub fn updated_for(&self, tree: &Tree) -> Self {
         let mut next = self.clone();
         let changes = OrganisationSet::changes(&self.organisations, tree.organisation_set());
         // All removals precede the additions, because a key may move between organisations.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,6 +6,7 @@
 //! without I/O, so that the operators' program and the daemons cannot disagree.
 
 mod change;
+mod checksum;
 mod copy;
 mod digest;
 mod edit;
@@ -20,12 +21,11 @@
 mod route;
 mod route_set;
 mod route_table;
-mod sum;
 mod tree;
 
 pub use change::{Change, Conflict, diff, merge};
 pub use copy::{
-    CopiedBucket, CopiedEntry, CopyAsk, CopyBase, CopyError, CopyStep, TreeCopy, TreePart,
+    CopiedBucket, CopiedEntry, CopyBase, CopyError, CopyProgress, CopyRequest, TreeCopy, TreePart,
 };
 pub use digest::{Digest, digest};
 pub use edit::TreeEdit;
@@ -34,7 +34,7 @@
 pub use field::{FIELDS, FieldSpec, Kind, field};
 pub use generations::{Generation, OfferError};
 pub use key_table::KeyTable;
-pub use organisation::{KeyDigest, NamedOrganisation, NotAKeyDigest, Organisation};
+pub use organisation::{InvalidKeyDigest, KeyDigest, NamedOrganisation, Organisation};
 pub use route::{NamedRoute, Route, RouteEffects, RoutePart};
 pub use route_table::RouteTable;
 pub use tree::{Tree, valid_name};
--- a/crates/settings/src/organisation.rs
+++ b/crates/settings/src/organisation.rs
@@ -13,13 +13,13 @@
 use crate::tree::Tree;
 
 /// Maximum length of an organisation name, in bytes; the name is sent to targets in a header.
-const NAME_LIMIT: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Maximum number of keys per organisation.
-const KEYS_LIMIT: u64 = 64;
+const MAX_KEYS: u64 = 64;
 /// Maximum rate, in calls per 1,000 seconds.
-const RATE_LIMIT: u64 = 1_000_000_000_000;
+const MAX_RATE: u64 = 1_000_000_000_000;
 /// Maximum burst, in calls.
-const BURST_LIMIT: u64 = 1_000_000_000;
+const MAX_BURST: u64 = 1_000_000_000;
 
 /// The organisations of a tree by name.
 pub(crate) type OrganisationSet = EntrySet<NamedOrganisation>;
@@ -30,11 +30,11 @@
 
 /// The text is not a valid key digest.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("a key's digest has 64 hexadecimal digits")]
-pub struct NotAKeyDigest;
+#[error("invalid key digest: expected 64 hexadecimal digits")]
+pub struct InvalidKeyDigest;
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         KeyDigest(Sha256::digest(key).into())
     }
@@ -58,11 +58,11 @@
 }
 
 impl FromStr for KeyDigest {
-    type Err = NotAKeyDigest;
+    type Err = InvalidKeyDigest;
 
-    fn from_str(text: &str) -> Result<Self, NotAKeyDigest> {
+    fn from_str(text: &str) -> Result<Self, InvalidKeyDigest> {
         let mut bytes = [0; 32];
-        hex::decode_to_slice(text, &mut bytes).map_err(|_| NotAKeyDigest)?;
+        hex::decode_to_slice(text, &mut bytes).map_err(|_| InvalidKeyDigest)?;
         Ok(KeyDigest(bytes))
     }
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// One organisation.
+/// Keys, quota and priority of an organisation.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
@@ -100,9 +100,9 @@
 
 impl Organisation {
     fn fault(&self) -> Option<Fault> {
-        Fault::check_range(self.key_digests.len() as u64, 0..=KEYS_LIMIT, "keys")
-            .or_else(|| Fault::check_range(self.rate_per_1000_s, 0..=RATE_LIMIT, "calls/1000 s"))
-            .or_else(|| Fault::check_range(self.burst, 0..=BURST_LIMIT, "calls"))
+        Fault::check_range(self.key_digests.len() as u64, 0..=MAX_KEYS, "keys")
+            .or_else(|| Fault::check_range(self.rate_per_1000_s, 0..=MAX_RATE, "calls/1000 s"))
+            .or_else(|| Fault::check_range(self.burst, 0..=MAX_BURST, "calls"))
     }
 }
 
@@ -122,7 +122,7 @@
     /// # Errors
     /// Fails with the first fault of the name or of the organisation.
     pub fn new(name: &str, organisation: Organisation) -> Result<Self, SettingsError> {
-        let fault = match names_organisation(name) {
+        let fault = match is_valid_name(name) {
             true => organisation.fault(),
             false => Some(Fault::BadOrganisationName),
         };
@@ -190,7 +190,7 @@
     Ok(())
 }
 
-fn names_organisation(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    (1..=NAME_LIMIT).contains(&name.len()) && name.bytes().all(is_allowed)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/crates/settings/src/route.rs
+++ b/crates/settings/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service serves a request, and on what terms.
+//! Routes: which services handle a request, and its limits and priority.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,59 +7,59 @@
 use crate::homes::names_region;
 use crate::tree::{Tree, valid_name};
 
-/// Longest time limit of a route, in milliseconds.
-const TIMEOUT_LIMIT_MS: u64 = 86_400_000;
-/// Most attempts a route may allow.
-const ATTEMPTS_LIMIT: u64 = 8;
-/// Longest host of a route, in bytes: the longest name that DNS allows.
-const HOST_BYTES: u64 = 253;
-/// Longest prefix of a route, in bytes.
-const PREFIX_BYTES: u64 = 2_048;
+/// Maximum timeout and latency goal of a route, in milliseconds.
+const MAX_TIMEOUT_MS: u64 = 86_400_000;
+/// Maximum number of attempts of a route.
+const MAX_ATTEMPTS: u64 = 8;
+/// Maximum length of a route's host, in bytes: the limit of DNS names.
+const MAX_HOST_BYTES: u64 = 253;
+/// Maximum length of a route's prefix, in bytes.
+const MAX_PREFIX_BYTES: u64 = 2_048;
 
-/// Whether a call may run more than once.
+/// Whether a call may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteEffects {
-    /// It may be sent again.
+    /// The call has no side effects and may be retried.
     None,
-    /// It runs at most once.
+    /// The call has side effects and is executed at most once.
     Once,
 }
 
-/// One part of a route's traffic.
+/// A weighted share of a route's traffic.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePart {
-    /// The service that serves this part.
+    /// Service that handles this share.
     pub service: String,
-    /// Its share among the weights of the route.
+    /// Weight relative to the other parts of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// Matching rule, limits and destinations of a class of requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Host that the request names.
+    /// Host of the request, without a port; ASCII case is ignored.
     pub host: String,
-    /// What its path begins with; starts and ends with a slash.
+    /// Prefix of the request path; starts and ends with a slash.
     pub prefix: String,
-    /// Whether a call may run more than once.
+    /// Whether a call may be executed more than once.
     pub effects: RouteEffects,
-    /// Longest time a call may take, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency goal in milliseconds; a response within it has its full value.
     pub goal_ms: u64,
-    /// Targets that one call may be delivered to.
+    /// Maximum number of targets that a call may be sent to.
     pub attempts: u32,
-    /// Rank among the calls of a service; 0 is the highest.
+    /// Priority among the calls of a service; 0 is the highest.
     pub priority: u32,
-    /// Where its traffic goes.
+    /// Services that share the traffic.
     pub parts: Vec<RoutePart>,
-    /// The only regions in which its calls may be served; anywhere where there are none.
+    /// Regions in which its calls may be served; empty for no restriction.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub home_regions: Vec<String>,
-    /// Whether bodies may be so large that they are passed on in pieces.
+    /// Whether bodies may be large enough to be streamed.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub large_bodies: bool,
     /// Whether its calls are accepted without an organisation key.
@@ -71,34 +71,34 @@
     fn fault(&self) -> Option<Fault> {
         let prefix_fits = self.prefix.starts_with('/') && self.prefix.ends_with('/');
         if self.host.is_empty() {
-            return Some(Fault::Inconsistent("a route needs a host"));
+            return Some(Fault::Inconsistent("a route must have a host"));
         }
         if !prefix_fits {
-            let text = "a route's prefix starts and ends with a slash";
+            let text = "a route's prefix must start and end with a slash";
             return Some(Fault::Inconsistent(text));
         }
         if !self.home_regions.iter().all(|name| names_region(name)) {
             return Some(Fault::BadRegion);
         }
         if self.parts.iter().all(|part| part.weight == 0) {
-            let text = "a route needs a part with a weight above 0";
+            let text = "a route must have a part with a weight above 0";
             return Some(Fault::Inconsistent(text));
         }
         let length = |text: &str| text.len() as u64;
-        Fault::check_range(length(&self.host), 1..=HOST_BYTES, "bytes")
-            .or_else(|| Fault::check_range(length(&self.prefix), 1..=PREFIX_BYTES, "bytes"))
-            .or_else(|| Fault::check_range(self.timeout_ms, 1..=TIMEOUT_LIMIT_MS, "ms"))
-            .or_else(|| Fault::check_range(self.goal_ms, 1..=TIMEOUT_LIMIT_MS, "ms"))
-            .or_else(|| Fault::check_range(self.attempts.into(), 1..=ATTEMPTS_LIMIT, "attempts"))
+        Fault::check_range(length(&self.host), 1..=MAX_HOST_BYTES, "bytes")
+            .or_else(|| Fault::check_range(length(&self.prefix), 1..=MAX_PREFIX_BYTES, "bytes"))
+            .or_else(|| Fault::check_range(self.timeout_ms, 1..=MAX_TIMEOUT_MS, "ms"))
+            .or_else(|| Fault::check_range(self.goal_ms, 1..=MAX_TIMEOUT_MS, "ms"))
+            .or_else(|| Fault::check_range(self.attempts.into(), 1..=MAX_ATTEMPTS, "attempts"))
     }
 }
 
-/// A route with its name, checked.
+/// A validated route with its name.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NamedRoute {
     /// Name in the tree.
     pub name: String,
-    /// A number for its calls, which differs from those of other routes.
+    /// Call kind of its calls: the hash of the name, which routes may share if hashes collide.
     pub kind: u32,
     /// The route.
     pub route: Route,
@@ -109,7 +109,7 @@
     /// Checks a route and its name.
     ///
     /// # Errors
-    /// A bad name, or the first fault of the route.
+    /// Fails with the first fault of the name or of the route.
     pub fn new(name: &str, route: Route) -> Result<Self, SettingsError> {
         let fault = match valid_name(name) {
             true => route.fault(),
@@ -134,7 +134,7 @@
 impl Entry for NamedRoute {
     type Content = Route;
     const PATH_PREFIX: &'static str = "routes.";
-    /// 2 KiB of sums per request, and about 55 routes per bucket with 14,000 routes.
+    /// Takes 2 KiB of checksums per request, with about 55 routes per bucket with 14,000 routes.
     const BUCKETS: usize = 256;
 
     fn try_new(name: &str, route: Route) -> Result<Self, SettingsError> {
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -10,6 +10,7 @@
 use serde_json::{Map, Value, json};
 use sha2::{Digest as _, Sha256};
 
+use crate::checksum::Checksum;
 use crate::digest::Digest;
 use crate::effective::Effective;
 use crate::entry_set::{Entry, EntrySet};
@@ -19,7 +20,6 @@
 use crate::organisation::{self, NamedOrganisation, OrganisationSet};
 use crate::route::NamedRoute;
 use crate::route_set::RouteSet;
-use crate::sum::Sum;
 
 const ROOT: &str = "root";
 const NAME_LIMIT: usize = 63;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 struct Levels {
     entries: BTreeMap<String, Value>,
-    sum: OnceLock<Sum>,
+    sum: OnceLock<Checksum>,
 }
 
 /// A checked tree of settings.
@@ -208,8 +208,8 @@
         Digest::from_hex(hex::encode(hasher.finalize()))
     }
 
-    pub(crate) fn levels_sum(&self) -> Sum {
-        let sum = || Sum::of(ROOT, self.levels_json().to_string().as_bytes());
+    pub(crate) fn levels_sum(&self) -> Checksum {
+        let sum = || Checksum::of(ROOT, self.levels_json().to_string().as_bytes());
         *self.levels.sum.get_or_init(sum)
     }
 
--- a/crates/settings/tests/copies.rs
+++ b/crates/settings/tests/copies.rs
@@ -1,14 +1,14 @@
-//! Copies of trees part by part, and what follows a change instead of being built anew.
+//! Incremental copies of trees, and lookup tables that are updated instead of rebuilt.
 
 use lynxcleat_settings::{
-    CopiedBucket, CopyBase, CopyError, CopyStep, Digest, Route, RouteEffects, RoutePart,
+    CopiedBucket, CopyBase, CopyError, CopyProgress, Digest, Route, RouteEffects, RoutePart,
     RouteTable, Tree, TreeCopy, TreeEdit, TreePart, digest,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
 
-/// Bytes before the last unit of a part: a few routes, so that copies take several parts.
+/// Size limit of a part: a few routes, so that copies take several parts.
 const PART_BYTES: usize = 600;
 
 fn route(number: usize, goal_ms: u64) -> Route {
@@ -32,19 +32,20 @@
 
 fn tree(routes: usize) -> Tree {
     let nested = json!({"places": {"east": {"services": {"stock": {}}}}});
-    let mut edit = TreeEdit::of(&Tree::from_json(&nested).expect("good"));
+    let mut edit = TreeEdit::of(&Tree::from_json(&nested).expect("valid"));
     for number in 0..routes {
         put(&mut edit, number, 400);
     }
-    edit.finish().expect("good")
+    edit.finish().expect("valid")
 }
 
 fn put(edit: &mut TreeEdit, number: usize, goal_ms: u64) {
     let name = format!("r-{number}");
-    edit.put_route(&name, route(number, goal_ms)).expect("good");
+    edit.put_route(&name, route(number, goal_ms))
+        .expect("valid");
 }
 
-/// One change of a tree.
+/// A change of a tree.
 #[derive(Clone, Debug)]
 enum Step {
     Put(usize, u64),
@@ -72,47 +73,47 @@
                     "settings": {"slots": slots},
                     "places": {"east": {"services": {"stock": {}}}}
                 }))
-                .expect("good"),
+                .expect("valid"),
         }
     }
-    edit.finish().expect("good")
+    edit.finish().expect("valid")
 }
 
-/// What a source that knows some earlier trees sends.
-fn part(source: &Tree, earlier: &[&Tree], copy: &mut TreeCopy) -> TreePart {
-    let asked = copy.ask();
-    let CopyBase::Tree(digest) = asked.base else {
-        let CopyBase::Units(sums) = asked.base else {
+/// Part sent by a source that knows the `earlier` trees.
+fn next_part(source: &Tree, earlier: &[&Tree], copy: &mut TreeCopy) -> TreePart {
+    let request = copy.request();
+    let CopyBase::Tree(digest) = request.base else {
+        let CopyBase::Units(sums) = request.base else {
             unreachable!("a base is a tree or units")
         };
-        return source.part_by_sums(asked.first, &sums, PART_BYTES);
+        return source.part_by_sums(request.first, &sums, PART_BYTES);
     };
     let known = earlier.iter().find(|tree| tree.entries_digest() == digest);
     if let Some(known) = known {
-        return source.part_since(known, asked.first, PART_BYTES);
+        return source.part_since(known, request.first, PART_BYTES);
     }
-    copy.base_is_unknown();
-    part(source, earlier, copy)
+    copy.discard_base();
+    next_part(source, earlier, copy)
 }
 
-/// Copies a tree from sources that are asked in turn, each with its generation.
+/// Copies a tree from sources that are used in turn, each with its generation.
 fn copy(from: &Tree, earlier: &[&Tree], sources: &[(u64, &Tree)]) -> Tree {
     let mut copy = TreeCopy::of(from);
     for turn in 0..10_000 {
-        // The last of them has the newest tree, and is asked from then on.
+        // The last source has the newest tree and serves all remaining requests.
         let (generation, source) = sources[turn.min(sources.len() - 1)];
-        let part = part(source, earlier, &mut copy);
-        let taken = copy.take(generation, &source.entries_digest(), part);
-        if let CopyStep::Whole(tree) = taken.expect("taken")
+        let part = next_part(source, earlier, &mut copy);
+        let progress = copy.apply(generation, &source.entries_digest(), part);
+        if let CopyProgress::Complete(tree) = progress.expect("valid part")
             && turn + 1 >= sources.len()
         {
             return tree;
         }
     }
-    panic!("no end of parts");
+    panic!("the copy did not complete within 10,000 parts");
 }
 
-fn found(table: &RouteTable) -> Vec<Option<String>> {
+fn lookups(table: &RouteTable) -> Vec<Option<String>> {
     let paths = (0..60).map(|number| {
         let host = format!("host{}.example", number % 3);
         let path = format!("/{}/r{number}/x/y", number % 5);
@@ -124,31 +125,31 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(41), failure_persistence: None, cases: 200, ..Config::default() })]
 
-    /// Whatever changed, whichever sources had which generation meanwhile: the copy is the
-    /// newest tree, with the digest and the lookups of one that is built anew.
+    /// A copy equals the newest tree whatever changed, even if the sources had different
+    /// generations in the meantime; its digest and lookup tables equal those of a rebuilt tree.
     #[test]
-    fn a_copy_is_what_building_anew_gives(
-        first in steps(), second in steps(), third in steps(), starts_empty: bool, is_known: bool,
+    fn copying_yields_the_same_tree_as_rebuilding(
+        first in steps(), second in steps(), third in steps(), starts_empty: bool, base_is_known: bool,
     ) {
-        let begun = apply(&tree(30), &first);
-        let middle = apply(&begun, &second);
+        let initial = apply(&tree(30), &first);
+        let middle = apply(&initial, &second);
         let newest = apply(&middle, &third);
-        let own = if starts_empty { Tree::default() } else { begun.clone() };
-        let earlier = [&begun];
-        let earlier = if is_known { &earlier[..] } else { &[] };
-        let copied = copy(&own, earlier, &[(2, &middle), (2, &middle), (3, &newest)]);
-        let direct = copy(&own, earlier, &[(3, &newest)]);
+        let present = if starts_empty { Tree::default() } else { initial.clone() };
+        let earlier = [&initial];
+        let earlier = if base_is_known { &earlier[..] } else { &[] };
+        let copied = copy(&present, earlier, &[(2, &middle), (2, &middle), (3, &newest)]);
+        let direct = copy(&present, earlier, &[(3, &newest)]);
         prop_assert_eq!(&direct, &copied);
-        let anew = Tree::parse(&newest.to_json().to_string()).expect("good");
-        prop_assert_eq!(&copied, &anew);
-        prop_assert_eq!(copied.entries_digest(), anew.entries_digest());
-        prop_assert_eq!(digest(&copied), digest(&anew));
-        let followed = RouteTable::of(&begun).followed_by(&middle).followed_by(&copied);
-        prop_assert_eq!(found(&followed), found(&RouteTable::of(&anew)));
+        let rebuilt = Tree::parse(&newest.to_json().to_string()).expect("valid");
+        prop_assert_eq!(&copied, &rebuilt);
+        prop_assert_eq!(copied.entries_digest(), rebuilt.entries_digest());
+        prop_assert_eq!(digest(&copied), digest(&rebuilt));
+        let updated = RouteTable::of(&initial).updated_for(&middle).updated_for(&copied);
+        prop_assert_eq!(lookups(&updated), lookups(&RouteTable::of(&rebuilt)));
     }
 
     #[test]
-    fn trees_that_differ_have_other_digests(steps in steps()) {
+    fn entries_digests_differ_exactly_if_trees_differ(steps in steps()) {
         let before = tree(30);
         let after = apply(&before, &steps);
         prop_assert_eq!(before == after, before.entries_digest() == after.entries_digest());
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn what_changed_among_1400_routes_is_all_that_is_sent() {
+fn only_changes_among_1400_routes_are_sent() {
     let before = tree(1_400);
     let after = apply(&before, &[Step::Put(7, 9), Step::Remove(9)]);
     let part = after.part_since(&before, 0, 32 << 10);
@@ -167,23 +168,26 @@
 }
 
 #[test]
-fn a_part_that_is_out_of_place_or_not_its_source_s_is_refused() {
+fn parts_that_are_misplaced_or_mismatch_the_digest_are_rejected() {
     let before = tree(20);
     let after = apply(&before, &[Step::Put(7, 9)]);
     let part = || after.part_since(&before, 0, PART_BYTES);
-    let take = |digest: &Digest, part| {
+    let apply = |digest: &Digest, part| {
         let mut copy = TreeCopy::of(&before);
-        copy.base_is_unknown();
-        copy.take(2, digest, part)
+        copy.discard_base();
+        copy.apply(2, digest, part)
     };
-    let other = take(&before.entries_digest(), part());
-    assert!(matches!(other, Err(CopyError::Differs { .. })), "{other:?}");
-    let mut moved = part();
-    moved.buckets[0].number = (moved.buckets[0].number + 1) % 256;
-    let number = moved.buckets[0].number;
-    let refused = take(&after.entries_digest(), moved);
-    assert_eq!(refused, Err(CopyError::Misplaced(number)));
-    let beyond = TreePart {
+    let mismatch = apply(&before.entries_digest(), part());
+    assert!(
+        matches!(mismatch, Err(CopyError::DigestMismatch { .. })),
+        "{mismatch:?}"
+    );
+    let mut misplaced = part();
+    misplaced.buckets[0].number = (misplaced.buckets[0].number + 1) % 256;
+    let number = misplaced.buckets[0].number;
+    let rejected = apply(&after.entries_digest(), misplaced);
+    assert_eq!(rejected, Err(CopyError::Misplaced(number)));
+    let out_of_range = TreePart {
         buckets: vec![CopiedBucket {
             number: 256,
             entries: Vec::new(),
@@ -191,31 +195,37 @@
         }],
         ..TreePart::default()
     };
-    let refused = take(&after.entries_digest(), beyond);
-    assert_eq!(refused, Err(CopyError::Misplaced(256)));
-    let mut faulty = part();
-    faulty.buckets[0].entries[0].content.attempts = 0;
-    let refused = take(&after.entries_digest(), faulty);
-    assert!(matches!(refused, Err(CopyError::Refused(_))), "{refused:?}");
-    let nonsense = TreePart {
+    let rejected = apply(&after.entries_digest(), out_of_range);
+    assert_eq!(rejected, Err(CopyError::Misplaced(256)));
+    let mut invalid = part();
+    invalid.buckets[0].entries[0].content.attempts = 0;
+    let rejected = apply(&after.entries_digest(), invalid);
+    assert!(
+        matches!(rejected, Err(CopyError::Refused(_))),
+        "{rejected:?}"
+    );
+    let malformed = TreePart {
         levels: Some("{".to_owned()),
         ..TreePart::default()
     };
-    let refused = take(&after.entries_digest(), nonsense);
-    assert!(matches!(refused, Err(CopyError::NotJson(_))), "{refused:?}");
+    let rejected = apply(&after.entries_digest(), malformed);
+    assert!(
+        matches!(rejected, Err(CopyError::InvalidJson(_))),
+        "{rejected:?}"
+    );
 }
 
 #[test]
-fn a_tree_with_more_routes_than_a_daemon_can_hold_is_refused() {
+fn trees_with_more_routes_than_a_daemon_supports_are_rejected() {
     let mut edit = TreeEdit::of(&Tree::default());
     for number in 0..50_001 {
         put(&mut edit, number, 400);
     }
-    let refused = edit.clone().finish().expect_err("too many");
+    let rejected = edit.clone().finish().expect_err("too many");
     assert_eq!(
-        refused.to_string(),
+        rejected.to_string(),
         "routes: 50001 routes is outside 0..=50000 routes"
     );
     edit.remove_route("r-0");
-    assert_eq!(edit.finish().expect("good").route_count(), 50_000);
+    assert_eq!(edit.finish().expect("valid").route_count(), 50_000);
 }
--- a/crates/settings/tests/organisations.rs
+++ b/crates/settings/tests/organisations.rs
@@ -1,14 +1,15 @@
 //! Organisations in a tree: validation, key lookup, diffs and copies.
 
 use lynxcleat_settings::{
-    CopyStep, KeyDigest, KeyTable, Organisation, Tree, TreeCopy, TreeEdit, diff, merge,
+    CopyBase, CopyProgress, KeyDigest, KeyTable, Organisation, Tree, TreeCopy, TreeEdit, diff,
+    merge,
 };
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 
 fn tree(organisations: Value) -> Tree {
-    Tree::from_json(&json!({"places": {}, "organisations": organisations})).expect("a good tree")
+    Tree::from_json(&json!({"places": {}, "organisations": organisations})).expect("a valid tree")
 }
 
 fn digest(key: &str) -> String {
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_key_is_found_under_its_organisation_until_it_is_taken_away() {
+fn a_key_is_found_under_its_organisation_until_it_is_removed() {
     let both = tree(json!({"guild": {"key_digests": [digest("old"), digest("new")]}}));
     let keys = KeyTable::of(&both);
     let name =
@@ -37,47 +38,50 @@
     assert_eq!(name(&keys, "new").as_deref(), Some("guild"));
     assert_eq!(name(&keys, "other"), None);
     let rotated = tree(json!({"guild": {"key_digests": [digest("new")]}}));
-    let keys = keys.followed_by(&rotated);
+    let keys = keys.updated_for(&rotated);
     assert_eq!(name(&keys, "old"), None);
     assert_eq!(name(&keys, "new").as_deref(), Some("guild"));
 }
 
 #[test]
-fn a_key_that_moves_to_another_organisation_is_found_there() {
+fn a_key_moved_to_another_organisation_is_found_there() {
     let before = tree(json!({"a": {"key_digests": [digest("k")]}, "b": {}}));
     let after = tree(json!({"a": {}, "b": {"key_digests": [digest("k")]}}));
-    let keys = KeyTable::of(&before).followed_by(&after);
+    let keys = KeyTable::of(&before).updated_for(&after);
     assert_eq!(keys.find(b"k").map(|named| &*named.name), Some("b"));
-    let keys = keys.followed_by(&before);
+    let keys = keys.updated_for(&before);
     assert_eq!(keys.find(b"k").map(|named| &*named.name), Some("a"));
 }
 
 #[rstest]
-#[case(json!({"a": {"key_digests": ["xy"]}}), "organisations.a: not an organisation: a key's digest has 64 hexadecimal digits")]
+#[case(json!({"a": {"key_digests": ["xy"]}}), "organisations.a: not an organisation: invalid key digest: expected 64 hexadecimal digits")]
 #[case(json!({"a": {"keys": []}}), "organisations.a: not an organisation: unknown field `keys`")]
 #[case(json!({"a b": {}}), "organisations.a b: an organisation's name")]
 #[case(json!({"a": {"burst": 1_000_000_001_u64}}), "organisations.a: 1000000001 calls is outside")]
-fn a_bad_organisation_is_refused_with_its_path(#[case] organisations: Value, #[case] fault: &str) {
-    let refused = Tree::from_json(&json!({"places": {}, "organisations": organisations}));
-    let text = refused.expect_err("refused").to_string();
+fn an_invalid_organisation_is_rejected_with_its_path(
+    #[case] organisations: Value,
+    #[case] fault: &str,
+) {
+    let rejected = Tree::from_json(&json!({"places": {}, "organisations": organisations}));
+    let text = rejected.expect_err("rejected").to_string();
     assert!(text.starts_with(fault), "{text}");
 }
 
 #[test]
-fn a_key_of_two_organisations_is_refused_without_showing_it() {
+fn a_key_shared_by_two_organisations_is_rejected_without_showing_it() {
     let shared = json!({"a": {"key_digests": [digest("k")]}, "b": {"key_digests": [digest("k")]}});
-    let refused = Tree::from_json(&json!({"places": {}, "organisations": shared}));
-    let text = refused.expect_err("refused").to_string();
+    let rejected = Tree::from_json(&json!({"places": {}, "organisations": shared}));
+    let text = rejected.expect_err("rejected").to_string();
     assert!(text.contains("is also a key of organisation"), "{text}");
     assert!(!text.contains(&digest("k")), "{text}");
     let mut edit = TreeEdit::of(&tree(json!({"a": {"key_digests": [digest("k")]}})));
     edit.put_organisation("b", with_keys(&["k"]))
-        .expect("good by itself");
+        .expect("valid by itself");
     assert!(edit.finish().is_err());
 }
 
 #[test]
-fn changes_of_organisations_are_reported_and_merged_by_path() {
+fn organisation_changes_are_diffed_and_merged_by_path() {
     let base = tree(json!({"a": {"burst": 1}, "b": {"burst": 1}}));
     let theirs = tree(json!({"a": {"burst": 2}, "b": {"burst": 1}}));
     let mine = tree(json!({"a": {"burst": 1}, "b": {"burst": 3}, "c": {}}));
@@ -95,51 +99,54 @@
     assert!(merge(&base, &theirs, &conflicting).is_err());
 }
 
-/// Copies `after` to a receiver that holds `before`, by changes or by sums. Returns the tree and
-/// the number of organisations sent.
-fn copied(before: &Tree, after: &Tree, by_sums: bool) -> (Tree, usize) {
+/// Copies `after` to a receiver that holds `before`, by changes or by checksums. Returns the tree
+/// and the number of organisations sent.
+fn copy(before: &Tree, after: &Tree, by_sums: bool) -> (Tree, usize) {
     let mut copy = TreeCopy::of(before);
     if by_sums {
-        copy.base_is_unknown();
+        copy.discard_base();
     }
     let mut entries = 0;
     loop {
-        let ask = copy.ask();
-        let part = match ask.base {
-            lynxcleat_settings::CopyBase::Tree(_) => after.part_since(before, ask.first, 500),
-            lynxcleat_settings::CopyBase::Units(sums) => after.part_by_sums(ask.first, &sums, 500),
+        let request = copy.request();
+        let part = match request.base {
+            CopyBase::Tree(_) => after.part_since(before, request.first, 500),
+            CopyBase::Units(sums) => after.part_by_sums(request.first, &sums, 500),
         };
         let organisations = part.organisations.iter();
         entries += organisations
             .map(|bucket| bucket.entries.len())
             .sum::<usize>();
-        match copy.take(2, &after.entries_digest(), part).expect("taken") {
-            CopyStep::More => {}
-            CopyStep::Whole(tree) => return (tree, entries),
+        match copy
+            .apply(2, &after.entries_digest(), part)
+            .expect("valid part")
+        {
+            CopyProgress::Incomplete => {}
+            CopyProgress::Complete(tree) => return (tree, entries),
         }
     }
 }
 
 #[test]
-fn one_key_changed_among_1000_organisations_is_all_that_is_sent() {
+fn only_the_changed_organisation_of_1000_is_sent() {
     let mut edit = TreeEdit::of(&Tree::default());
     for number in 0..1_000 {
         let key = format!("key-{number}");
         edit.put_organisation(&format!("o{number}"), with_keys(&[&key]))
-            .expect("good");
+            .expect("valid");
     }
-    let before = edit.finish().expect("good");
+    let before = edit.finish().expect("valid");
     let mut edit = TreeEdit::of(&before);
     edit.put_organisation("o7", with_keys(&["key-7", "fresh"]))
-        .expect("good");
-    let after = edit.finish().expect("good");
-    let (tree, entries) = copied(&before, &after, false);
+        .expect("valid");
+    let after = edit.finish().expect("valid");
+    let (tree, entries) = copy(&before, &after, false);
     assert_eq!((tree == after, entries), (true, 1));
 }
 
 proptest! {
     #[test]
-    fn any_change_of_organisations_is_copied_and_looked_up_alike(
+    fn copies_and_updated_key_tables_equal_rebuilt_ones(
         steps in proptest::collection::vec((0_usize..20, 0_u8..4), 1..30),
         by_sums in any::<bool>(),
     ) {
@@ -151,20 +158,20 @@
                 0 => edit.remove_organisation(&name),
                 _ => {
                     let key = format!("k{number}-{version}");
-                    edit.put_organisation(&name, with_keys(&[&key])).expect("good");
+                    edit.put_organisation(&name, with_keys(&[&key])).expect("valid");
                 }
             }
         }
-        let after = edit.finish().expect("good");
-        let (tree, _) = copied(&before, &after, by_sums);
+        let after = edit.finish().expect("valid");
+        let (tree, _) = copy(&before, &after, by_sums);
         prop_assert_eq!(&tree, &after);
         prop_assert_eq!(before == after, before.entries_digest() == after.entries_digest());
-        let followed = KeyTable::of(&before).followed_by(&after);
+        let updated = KeyTable::of(&before).updated_for(&after);
         for number in 0..20 {
             for version in 0..4 {
                 let key = format!("k{number}-{version}");
                 let name = |keys: &KeyTable| keys.find(key.as_bytes()).map(|named| named.name.clone());
-                prop_assert_eq!(name(&followed), name(&KeyTable::of(&after)));
+                prop_assert_eq!(name(&updated), name(&KeyTable::of(&after)));
             }
         }
     }
--- a/crates/settings/tests/routes.rs
+++ b/crates/settings/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: checks, and which route a request takes.
+//! Routes: validation and selection of the route of a request.
 
 use lynxcleat_settings::{RouteTable, Tree, diff, digest};
 use rstest::rstest;
@@ -17,15 +17,15 @@
         "places": {"east": {"services": {"stock": {}, "price": {}}}},
         "routes": {"a": route("/a/", "stock"), "a-long": route("/a/b/", "price"), "root": route("/", "price")}
     });
-    Tree::from_json(&tree).expect("a good tree")
+    Tree::from_json(&tree).expect("a valid tree")
 }
 
 #[rstest]
-#[case::longest("shop.example", "/a/b/c", Some("a-long"))]
-#[case::shorter("shop.example", "/a/x", Some("a"))]
-#[case::not_the_slash("shop.example", "/a", Some("root"))]
-#[case::another_host("other.example", "/a/b/c", None)]
-fn the_longest_prefix_of_the_host_wins(
+#[case::longest_prefix("shop.example", "/a/b/c", Some("a-long"))]
+#[case::shorter_prefix("shop.example", "/a/x", Some("a"))]
+#[case::without_trailing_slash("shop.example", "/a", Some("root"))]
+#[case::other_host("other.example", "/a/b/c", None)]
+fn the_longest_matching_prefix_of_the_host_is_selected(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -36,35 +36,35 @@
 }
 
 #[test]
-fn routes_survive_text_and_are_compared_one_by_one() {
+fn routes_round_trip_through_json_and_are_diffed_individually() {
     let tree = tree();
     let (text, _) = digest(&tree);
-    assert_eq!(Tree::parse(&text).expect("its own text"), tree);
+    assert_eq!(Tree::parse(&text).expect("canonical text"), tree);
     let mut changed = tree.to_json();
     changed["routes"]["a"]["timeout_ms"] = 900.into();
-    let changed = Tree::from_json(&changed).expect("a good tree");
+    let changed = Tree::from_json(&changed).expect("a valid tree");
     let paths: Vec<String> = diff(&tree, &changed)
         .into_iter()
         .map(|change| change.path)
         .collect();
     assert_eq!(paths, ["routes.a"]);
-    let kinds = RouteTable::of(&tree);
-    let kind = |path| kinds.find("shop.example", path).expect("a route").kind;
+    let table = RouteTable::of(&tree);
+    let kind = |path| table.find("shop.example", path).expect("a route").kind;
     assert_ne!(kind("/a/x"), kind("/a/b/x"));
 }
 
 #[rstest]
-#[case::no_slash("prefix", json!("/a"))]
-#[case::no_host("host", json!(""))]
-#[case::no_time("timeout_ms", json!(0))]
+#[case::no_trailing_slash("prefix", json!("/a"))]
+#[case::empty_host("host", json!(""))]
+#[case::zero_timeout("timeout_ms", json!(0))]
 #[case::too_many_attempts("attempts", json!(9))]
-#[case::no_weight("parts", json!([{"service": "stock", "weight": 0}]))]
-#[case::no_part("parts", json!([]))]
+#[case::zero_weight("parts", json!([{"service": "stock", "weight": 0}]))]
+#[case::no_parts("parts", json!([]))]
 #[case::unknown_effects("effects", json!("some"))]
 #[case::unknown_field("colour", json!("red"))]
-fn a_bad_route_is_refused_with_its_path(#[case] field: &str, #[case] value: Value) {
+fn an_invalid_route_is_rejected_with_its_path(#[case] field: &str, #[case] value: Value) {
     let mut tree = tree().to_json();
     tree["routes"]["a"][field] = value;
-    let error = Tree::from_json(&tree).expect_err("a bad route");
+    let error = Tree::from_json(&tree).expect_err("an invalid route");
     assert!(error.to_string().starts_with("routes.a: "), "{error}");
 }
--- a/crates/wire/src/settings_part.rs
+++ b/crates/wire/src/settings_part.rs
@@ -1,6 +1,6 @@
 //! Questions for settings and parts of them, packed: routes repeat the same names and values.
 
-use lynxcleat_settings::{CopyAsk, CopyBase, Digest, Generation, TreePart};
+use lynxcleat_settings::{CopyBase, CopyRequest, Digest, Generation, TreePart};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
@@ -29,7 +29,7 @@
 
 impl SettingsAsk {
     /// A question of a side that has some generation in force, and so much of a newer one.
-    pub fn new(ask: u64, in_force: u64, wanted: &CopyAsk) -> Self {
+    pub fn new(ask: u64, in_force: u64, wanted: &CopyRequest) -> Self {
         let (base, sums) = match &wanted.base {
             CopyBase::Tree(digest) => (Some(digest.to_string()), Vec::new()),
             CopyBase::Units(sums) => {
@@ -47,7 +47,7 @@
     }
 
     /// What the asker wants.
-    pub fn wanted(&self) -> CopyAsk {
+    pub fn wanted(&self) -> CopyRequest {
         let sums = || {
             let (sums, _) = self.sums.as_chunks();
             sums.iter().copied().map(u64::from_le_bytes).collect()
@@ -56,7 +56,7 @@
             Some(digest) => CopyBase::Tree(Digest::from_hex(digest.as_str())),
             None => CopyBase::Units(sums()),
         };
-        CopyAsk {
+        CopyRequest {
             first: self.first,
             base,
         }
