--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,54 +1,54 @@
-//! CBOR encoding of messages. The web socket bounds a message's size; what does
-//! not decode closes the connection it came on, and no other.
+//! CBOR encoding of messages. The WebSocket layer limits the size of a message. A message that
+//! cannot be decoded closes only the connection on which it was received.
 
 use thiserror::Error;
 
 use crate::frame::Envelope;
 
-/// A message that cannot be read or written.
+/// Failure to encode or decode a message.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The bytes are not a message.
+    /// The bytes are not a valid message.
     #[error("malformed message: {0}")]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
-    /// Bytes follow the message.
+    /// The input continues after the end of the message.
     #[error("{0} bytes follow the message")]
     Trailing(usize),
-    /// Packed content cannot be unpacked.
-    #[error("malformed packed content: {0}")]
+    /// Compressed content cannot be decompressed.
+    #[error("malformed compressed content: {0}")]
     Packed(#[from] lz4_flex::block::DecompressError),
-    /// Packed content says that it is larger than any may be.
-    #[error("{found} bytes of packed content, {limit} allowed")]
+    /// The declared size of compressed content exceeds the limit.
+    #[error("compressed content declares a size of {found} bytes; the limit is {limit}")]
     TooLarge {
-        /// Bytes that it says it has.
+        /// Declared size after decompression, in bytes.
         found: usize,
-        /// Bytes that are allowed.
+        /// Maximum size after decompression, in bytes.
         limit: usize,
     },
-    /// The message cannot be encoded.
-    #[error("cannot encode: {0}")]
+    /// The message could not be encoded.
+    #[error("cannot encode message: {0}")]
     Encode(#[from] ciborium::ser::Error<std::io::Error>),
 }
 
-/// Depth of nesting that a message may have.
-const DEPTH_LIMIT: usize = 32;
+/// Maximum nesting depth of a message.
+const MAX_NESTING_DEPTH: usize = 32;
 
-/// The bytes of a message.
+/// Encodes a message.
 ///
 /// # Errors
-/// Never for messages built from this crate's types; kept typed all the same.
+/// Failure to encode the message; does not occur for the types of this crate.
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, CodecError> {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(envelope, &mut bytes)?;
     Ok(bytes)
 }
 
-/// Reads one message that fills `bytes`.
+/// Decodes a message that must occupy all of `bytes`.
 ///
 /// # Errors
-/// Bytes that are not exactly one message.
+/// Malformed or truncated input, or bytes after the end of the message.
 pub fn decode(mut bytes: &[u8]) -> Result<Envelope, CodecError> {
-    let envelope = ciborium::de::from_reader_with_recursion_limit(&mut bytes, DEPTH_LIMIT)?;
+    let envelope = ciborium::de::from_reader_with_recursion_limit(&mut bytes, MAX_NESTING_DEPTH)?;
     if bytes.is_empty() {
         Ok(envelope)
     } else {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The messages.
+//! Types of the messages that daemons exchange.
 
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
@@ -11,10 +11,10 @@
 use crate::hello::{Hello, Proof};
 use crate::settings_part::{SettingsAsk, SettingsReply};
 
-/// One message with the sender's generation of settings.
+/// A message with the sender's settings generation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
-    /// Generation in force at the sender; 0 before it has one.
+    /// Current settings generation of the sender; 0 until it has one.
     #[serde(rename = "g")]
     pub generation: u64,
     /// The message.
@@ -22,77 +22,77 @@
     pub frame: Frame,
 }
 
-/// A header's name, in lower case, and its value.
+/// Name, in lower case, and value of an HTTP header.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Header(pub String, pub ByteBuf);
 
-/// The head of a caller's request, without hop-by-hop headers.
+/// Method, path and headers of a caller's request, without hop-by-hop headers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RequestHead {
     /// HTTP method.
     #[serde(rename = "m")]
     pub method: String,
-    /// Path and query, as the caller sent them.
+    /// Path and query, unchanged from the caller's request.
     #[serde(rename = "p")]
     pub path: String,
-    /// Headers in the caller's order.
+    /// Headers in the order in which the caller sent them.
     #[serde(rename = "h")]
     pub headers: Vec<Header>,
 }
 
-/// A call on its way to a target.
+/// A call sent to a target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallFrame {
-    /// Name of this attempt at the sender.
+    /// Identifier of the attempt, assigned by the sender.
     #[serde(rename = "a")]
     pub attempt: AttemptId,
-    /// Name of the call, for logs and explanations.
+    /// Identifier of the call in logs and explanations.
     #[serde(rename = "i")]
     pub call: String,
-    /// The service asked for.
+    /// Requested service.
     #[serde(rename = "s")]
     pub service: String,
-    /// What kind of call it is.
+    /// Kind of the call.
     #[serde(rename = "k", default)]
     pub kind: CallKind,
-    /// Its rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     #[serde(rename = "p", default)]
     pub priority: u32,
-    /// Whether a target makes it while it runs a call of its own.
+    /// Whether a target makes the call while serving another one.
     #[serde(rename = "n", default, skip_serializing_if = "std::ops::Not::not")]
     pub nested: bool,
-    /// The only regions in which it may be served.
+    /// Regions in which the call may be served.
     #[serde(rename = "r", default, skip_serializing_if = "Homes::is_anywhere")]
     pub homes: Homes,
-    /// Whether the sender knows of the rollout that moves calls to the target's version, and
-    /// counts it as a part of its share while that runs.
+    /// Whether the sender knows of the rollout to the target's version and counts the call towards
+    /// the rollout's share of its calls.
     #[serde(rename = "v", default, skip_serializing_if = "std::ops::Not::not")]
     pub canary: bool,
-    /// Where the sender can offer it if it is refused.
+    /// Where else the sender can offer the call if it is refused.
     #[serde(rename = "m", default, skip_serializing_if = "Elsewhere::is_nowhere")]
     pub elsewhere: Elsewhere,
-    /// Time left until its goal, in microseconds, where its route has one.
+    /// Time left until the goal of the route, in microseconds, if it has one.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub goal_left_us: Option<u64>,
     /// Time left until the deadline, in microseconds.
     #[serde(rename = "t")]
     pub left_us: u64,
-    /// Present for a call with effects.
+    /// Present if the call has side effects.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub operation: Option<Operation>,
-    /// Service of the host where the call began, where targets want to know it.
+    /// Service of the host on which the call originated, if targets are configured to receive it.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub caller_service: Option<String>,
-    /// The calling organisation, if its key was checked.
+    /// Calling organisation, if its key was verified.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub organisation: Option<CallingOrganisation>,
-    /// Head of the request.
+    /// Method, path and headers of the request.
     #[serde(rename = "h")]
     pub head: RequestHead,
-    /// Body of the request; empty where it comes in pieces.
+    /// Body of the request; empty if it is streamed.
     #[serde(rename = "b")]
     pub body: ByteBuf,
-    /// Present where the body comes in pieces.
+    /// Present if the body is streamed.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub to_come: Option<BodyToCome>,
 }
@@ -100,7 +100,7 @@
 /// Organisation on whose behalf a call is made.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallingOrganisation {
-    /// Name of the organisation.
+    /// Name.
     #[serde(rename = "n")]
     pub name: String,
     /// Priority, which takes precedence over that of the route; 0 is the highest.
@@ -111,7 +111,7 @@
 /// Requests tokens from the daemon that owns the bucket of an organisation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuotaAsk {
-    /// Number of the ask.
+    /// Number of the request.
     #[serde(rename = "a")]
     pub ask: u64,
     /// Name of the organisation.
@@ -128,47 +128,48 @@
     pub returned: u32,
 }
 
-/// What is said beforehand of a body in pieces.
+/// Announces a streamed body.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BodyToCome {
-    /// Its length in bytes, where the caller stated it.
+    /// Length in bytes, if the caller stated it.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub length: Option<u64>,
-    /// Whether it comes ahead of a slot: its sender has all of it and can send it elsewhere.
+    /// Whether the body is sent before the call has a slot. The sender holds the whole body and can
+    /// send it to another target.
     #[serde(rename = "a", default, skip_serializing_if = "std::ops::Not::not")]
     pub ahead: bool,
 }
 
-/// One piece of a body.
+/// A chunk of a streamed body.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PieceFrame {
-    /// The attempt whose body it is of.
+    /// Attempt to which the body belongs.
     #[serde(rename = "a")]
     pub attempt: AttemptId,
-    /// The bytes, which follow those of the piece before.
+    /// Bytes that follow those of the previous chunk.
     #[serde(rename = "b")]
     pub bytes: ByteBuf,
-    /// Whether it is the last one.
+    /// Whether this is the last chunk.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub last: bool,
 }
 
-/// A target's complete answer.
+/// Complete response of a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
     /// HTTP status.
     #[serde(rename = "s")]
     pub status: u16,
-    /// Headers in the target's order.
+    /// Headers in the order in which the target sent them.
     #[serde(rename = "h")]
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// Complete body.
     #[serde(rename = "b")]
     pub body: ByteBuf,
 }
 
 impl Answer {
-    /// What storing the answer costs, in bytes.
+    /// Returns the size of headers and body for storage accounting, in bytes.
     pub fn size(&self) -> usize {
         let headers: usize = self
             .headers
@@ -179,41 +180,41 @@
     }
 }
 
-/// What a guard tells the daemon that passed a call on to it.
+/// Result of a call that a daemon forwarded to the guard of its ticket.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum GuardedVerdict {
-    /// It ran, now or earlier.
+    /// The call ran, now or earlier.
     Ran {
-        /// Its answer.
+        /// Response of the target.
         answer: Answer,
-        /// Whether it ran for an earlier call.
+        /// Whether the response is that of an earlier call.
         replayed: bool,
     },
-    /// It was not run.
+    /// The call was not run.
     NotRun {
-        /// Why.
+        /// Reason.
         reason: NotRunReason,
-        /// When to come back, in microseconds.
+        /// Delay before a retry, in microseconds.
         retry_after_us: u64,
     },
-    /// It may have run.
+    /// It is unknown whether the call ran.
     Unknown,
-    /// The memory of once-only operations is full.
+    /// The memory for once-only operations is full.
     MemoryFull,
-    /// The guard does not know the ticket as its own.
+    /// The ticket was not issued by this guard.
     NotMine,
 }
 
-/// One row of the members' table on its way to a peer.
+/// A row of the member table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowFrame {
-    /// Its key.
+    /// Key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value; absent where the row was removed.
+    /// Value; absent if the row was removed.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<ByteBuf>,
-    /// Version that the store gave to the change that made it so.
+    /// Version that the store assigned to the row's last change.
     #[serde(rename = "n")]
     pub version: u64,
 }
@@ -229,22 +230,22 @@
     pub sum: u64,
 }
 
-/// All changes of the members' table after one version and up to another.
+/// All changes to the member table after one version and up to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowsFrame {
     /// Changes up to this version are excluded.
     #[serde(rename = "a")]
     pub after: u64,
-    /// Nothing up to this version is missing.
+    /// All changes after `after` and up to this version are included.
     #[serde(rename = "t")]
     pub through: u64,
-    /// Whether the sender wants the receiver as a neighbour.
+    /// Whether the sender asks the receiver to be its neighbour.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub wanted: bool,
-    /// Time since the store last answered somebody who follows it, in milliseconds.
+    /// Time since the store last answered a daemon that follows it, in milliseconds.
     #[serde(rename = "o")]
     pub age_ms: u64,
-    /// The rows that changed.
+    /// Changed rows.
     #[serde(
         rename = "r",
         default,
@@ -255,12 +256,12 @@
     /// Present if the sender may have missed removals.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub digest: Option<RowDigestFrame>,
-    /// Present in the reply to a request with bucket sums.
+    /// Present in the reply to a request with bucket checksums.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub keys: Option<RowKeysFrame>,
 }
 
-/// The keys of the members' table in the buckets that differ.
+/// The keys of the member table in the buckets that differ.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowKeysFrame {
     /// Numbers of the buckets.
@@ -271,25 +272,25 @@
     pub keys: Vec<String>,
 }
 
-/// Request for changes of the members' table and, optionally, for the keys in the buckets that
-/// differ.
+/// Requests changes to the member table and, optionally, the keys in the buckets that differ.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowsAsk {
     /// Changes after this version are requested.
     #[serde(rename = "a")]
     pub after: u64,
-    /// Sums of the asker's buckets; empty if keys are not to be compared.
+    /// Checksums of the requester's buckets; empty if keys are not to be compared.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub sums: Vec<u64>,
 }
 
-/// The half of a target that calls are moved away from has none in hand and takes none.
+/// Reports that a target from which a rollout moves calls has no calls in progress and accepts
+/// none.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct IdleFrame {
     /// Service of the rollout.
     #[serde(rename = "s")]
     pub service: String,
-    /// Number of its order.
+    /// Number of the rollout order.
     #[serde(rename = "o")]
     pub order: u64,
     /// Host of the target.
@@ -297,133 +298,134 @@
     pub host: String,
 }
 
-/// A message. Asks carry a number that their reply repeats.
+/// A message. A request has a number, which the reply repeats.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// First message of either side.
+    /// First message from each side.
     Hello(Box<Hello>),
-    /// Proof of the shared key over both hellos.
+    /// Proof of possession of the shared key, computed over both hellos.
     Proof(Proof),
-    /// The link is alive.
+    /// Keep-alive.
     Beat,
-    /// The acceptor's target takes no new calls, or takes them again.
+    /// The acceptor's target has stopped (`true`) or resumed (`false`) accepting new calls.
     Leaving(bool),
-    /// Nothing listens at the address of the acceptor's target, or something does again.
+    /// Whether nothing listens at the address of the acceptor's target.
     Down(bool),
     /// A call for the acceptor's target.
     Call(Box<CallFrame>),
-    /// The sender may send so many bytes more of a call's body in pieces.
+    /// Extends the flow-control window of a streamed body.
     Window {
-        /// The attempt.
+        /// Attempt.
         #[serde(rename = "a")]
         attempt: AttemptId,
-        /// Bytes beyond those that it was told of before.
+        /// Additional bytes that the receiver of this message may send.
         #[serde(rename = "b")]
         bytes: u64,
     },
-    /// A piece of a call's body.
+    /// A chunk of a call's body.
     Piece(PieceFrame),
-    /// The load of the acceptor's target, which changed.
+    /// Changed load of the acceptor's target.
     Load(TargetLoad),
-    /// A call is no longer wanted.
+    /// Cancels an attempt.
     Cancel(AttemptId),
-    /// The target's answer.
+    /// Response of the target to a call.
     Answer {
-        /// The attempt.
+        /// Attempt.
         #[serde(rename = "a")]
         attempt: AttemptId,
-        /// The answer.
+        /// Response.
         #[serde(rename = "r")]
         answer: Answer,
-        /// Load of the target, where the measuring budget allowed it.
+        /// Load of the target, if the measurement budget allowed sending it.
         #[serde(rename = "l")]
         figures: Option<TargetLoad>,
-        /// Time held and served, in microseconds.
+        /// Time for which the call was held and served, in microseconds.
         #[serde(rename = "t")]
         there_us: u32,
-        /// Time that the call would have taken at usual speed, where it is known.
+        /// Time that the call would have taken at the target's usual speed, in microseconds, if
+        /// known.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
         work_us: Option<u32>,
     },
     /// The call was not run.
     Refused {
-        /// The attempt.
+        /// Attempt.
         #[serde(rename = "a")]
         attempt: AttemptId,
-        /// Why, and when to come back.
+        /// Reason, and delay before a retry.
         #[serde(rename = "r")]
         refusal: Refusal,
-        /// Load of the target, where the measuring budget allowed it.
+        /// Load of the target, if the measurement budget allowed sending it.
         #[serde(rename = "l")]
         figures: Option<TargetLoad>,
     },
-    /// The call was delivered and its answer was lost.
+    /// The call was delivered to the target, but the response was lost.
     Lost(AttemptId),
-    /// The target ended with the call in hand.
+    /// The target terminated while serving the call.
     Ended {
-        /// The attempt.
+        /// Attempt.
         #[serde(rename = "a")]
         attempt: AttemptId,
-        /// The same for all calls that were in hand.
+        /// Identifier of the termination, the same for all calls that were in progress.
         #[serde(rename = "e")]
         end: TargetExitId,
     },
-    /// Fence an operation at the acceptor's target.
+    /// Fences an operation at the acceptor's target.
     Fence {
-        /// Number of the ask.
+        /// Number of the request.
         ask: u64,
-        /// The operation.
+        /// Operation.
         operation: Operation,
     },
-    /// What became of a fenced operation.
+    /// Reply to [`Frame::Fence`].
     Fenced {
-        /// Number of the ask.
+        /// Number of the request.
         ask: u64,
-        /// What the half says.
+        /// State of the operation at the target.
         reply: FenceReply<Answer>,
     },
-    /// A call with a ticket that the acceptor minted.
+    /// Forwards a call to the guard that issued its ticket.
     Guarded {
-        /// Number of the ask.
+        /// Number of the request.
         ask: u64,
-        /// The ticket.
+        /// Ticket.
         ticket: Ticket,
-        /// The call.
+        /// Call.
         call: Box<CallFrame>,
     },
-    /// What the guard tells.
+    /// Reply to [`Frame::Guarded`].
     GuardedReply {
-        /// Number of the ask.
+        /// Number of the request.
         ask: u64,
-        /// The verdict.
+        /// Result of the call.
         verdict: GuardedVerdict,
     },
-    /// Asks for the settings in force, as far as they differ from what the asker has.
+    /// Requests the parts of the current settings that differ from the requester's copy.
     AskSettings(SettingsAsk),
-    /// What the other side has of them.
+    /// Reply to [`Frame::AskSettings`].
     Settings {
-        /// Number of the ask.
+        /// Number of the request.
         ask: u64,
-        /// The reply.
+        /// Reply.
         reply: SettingsReply,
     },
-    /// Availability zones that were evacuated, or are no more, as the sender knows.
+    /// Evacuations of availability zones that have begun or ended, as known to the sender.
     Zones(Vec<ZoneUpdate>),
-    /// Where rollouts stand, as the sender knows.
+    /// States of rollouts known to the sender.
     Rollouts(Vec<RolloutUpdate>),
-    /// What the half of the sender's target counted while a rollout runs.
+    /// Outcomes counted at the sender's target during a rollout.
     RolloutEvidence(TargetEvidence),
-    /// The half of a target that calls are moved away from has none in hand.
+    /// A target from which a rollout moves calls has none in progress.
     RolloutIdle(IdleFrame),
-    /// Changes of the members' table that the sender knows of.
+    /// Changes to the member table known to the sender.
     Rows(RowsFrame),
-    /// Requests under which targets ended, as the sender knows.
+    /// Requests during which targets terminated, as known to the sender.
     Suspects(Vec<SuspectNews>),
     /// Requests quota tokens of an organisation.
     AskQuota(QuotaAsk),
     /// Grants quota tokens of an organisation.
     Quota {
-        /// Number of the ask.
+        /// Number of the request.
         #[serde(rename = "a")]
         ask: u64,
         /// Tokens granted, one per call.
@@ -437,8 +439,8 @@
         #[serde(rename = "u", default, skip_serializing_if = "std::ops::Not::not")]
         unreachable: bool,
     },
-    /// Asks for the changes of the members' table.
+    /// Requests changes to the member table.
     AskRows(RowsAsk),
-    /// The sender no longer wants the receiver as a neighbour.
+    /// Ends the neighbour relation between sender and receiver.
     EndNeighbour,
 }
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -1,9 +1,9 @@
-//! The first messages of a link: who speaks, and the proof of the shared key.
+//! Handshake of a link: identification of both sides and mutual authentication by the shared key.
 //!
-//! Each side proves the key over both hellos and its own side, so a proof can
-//! be neither replayed, nor reflected, nor moved to another link. The key itself
-//! never crosses the network. Messages after the proof are not encrypted: the
-//! mesh is for the operators' own network until TLS is added.
+//! Each side sends an HMAC over both hellos and its own role, so that a proof can be neither
+//! replayed, nor reflected, nor used on another link. The key itself is never transmitted. Messages
+//! after the handshake are not encrypted: until TLS is added, the mesh must run on a network that
+//! the operators control.
 
 use hmac::{Hmac, KeyInit, Mac};
 use lynxcleat_once::Incarnation;
@@ -12,15 +12,15 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Version of the messages in this crate. Links between versions are refused.
+/// Version of the protocol. Links between different versions are refused.
 pub const PROTOCOL_VERSION: u16 = 8;
-/// Shortest shared key, in bytes.
-const KEY_BYTES_MIN: usize = 16;
+/// Minimum length of the shared key, in bytes.
+const MIN_KEY_BYTES: usize = 16;
 
-/// Who speaks.
+/// Identifies the sender of the first message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// [`PROTOCOL_VERSION`] of the speaker.
+    /// [`PROTOCOL_VERSION`] of the sender.
     pub version: u16,
     /// Name of the deployment.
     pub deployment: String,
@@ -34,27 +34,27 @@
     pub region: String,
     /// Service of the host's target.
     pub service: String,
-    /// Address at which the speaker accepts links.
+    /// Address at which the sender accepts links.
     pub mesh: String,
-    /// The speaker's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// When the speaker started, in milliseconds since 1970.
+    /// Start time of the sender, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Whether its target takes no new calls.
+    /// Whether the sender's target accepts no new calls.
     pub leaving: bool,
-    /// Whether nothing listens at its target's address.
+    /// Whether nothing listens at the address of the sender's target.
     #[serde(default)]
     pub down: bool,
-    /// A fresh random number.
+    /// Random number generated for this link.
     pub nonce: u128,
 }
 
-/// The side of a link.
+/// Role of a daemon on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Side {
-    /// Opened the connection.
+    /// The side that opened the connection.
     Dialer,
-    /// Accepted it.
+    /// The side that accepted the connection.
     Acceptor,
 }
 
@@ -67,69 +67,69 @@
     }
 }
 
-/// Proof that a side holds the shared key.
+/// HMAC that proves possession of the shared key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Proof(pub ByteBuf);
 
-/// Why a link is refused.
+/// Reason for refusing a link.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum HelloError {
-    /// The shared key is too short to be one.
-    #[error("the shared key has {0} bytes; at least {KEY_BYTES_MIN} are needed")]
+    /// The shared key is shorter than the minimum.
+    #[error("the shared key has {0} bytes; at least {MIN_KEY_BYTES} are needed")]
     ShortKey(usize),
-    /// The other side speaks another version.
-    #[error("protocol version {theirs}, ours is {PROTOCOL_VERSION}")]
+    /// The peer uses another protocol version.
+    #[error("peer uses protocol version {theirs}, expected {PROTOCOL_VERSION}")]
     Version {
-        /// The other side's version.
+        /// Protocol version of the peer.
         theirs: u16,
     },
-    /// The other side belongs to another deployment.
-    #[error("deployment {theirs:?}, ours is {ours:?}")]
+    /// The peer belongs to another deployment.
+    #[error("peer belongs to deployment {theirs:?}, expected {ours:?}")]
     Deployment {
-        /// The other side's deployment.
+        /// Deployment of the peer.
         theirs: String,
-        /// Our deployment.
+        /// Deployment of this daemon.
         ours: String,
     },
-    /// The proof does not match: another key.
+    /// The proof was made with another key or for another link or role.
     #[error("the proof of the shared key does not match")]
     BadProof,
-    /// Something else came where a hello or a proof was due.
-    #[error("unexpected message before the link was proved")]
+    /// Another message was received instead of a hello or a proof.
+    #[error("unexpected message before the link was authenticated")]
     OutOfOrder,
 }
 
-/// The deployment's shared key.
+/// Secret key shared by the daemons of a deployment.
 #[derive(Clone)]
 pub struct SharedKey(Vec<u8>);
 
 impl SharedKey {
-    /// Takes the key's bytes.
+    /// Creates a key from its bytes.
     ///
     /// # Errors
-    /// A key that is too short.
+    /// A key shorter than the minimum length.
     pub fn new(secret: &[u8]) -> Result<Self, HelloError> {
-        if secret.len() < KEY_BYTES_MIN {
+        if secret.len() < MIN_KEY_BYTES {
             return Err(HelloError::ShortKey(secret.len()));
         }
         Ok(SharedKey(secret.to_vec()))
     }
 
-    /// The bytes, for deriving other keys.
+    /// Returns the key's bytes, from which other keys are derived.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The proof that `side` sends.
+    /// Computes the proof that `side` sends.
     pub fn prove(&self, side: Side, dialer: &Hello, acceptor: &Hello) -> Proof {
         let mac = self.mac(side, dialer, acceptor);
         Proof(ByteBuf::from(mac.finalize().into_bytes().to_vec()))
     }
 
-    /// Checks the proof that `side` sent.
+    /// Verifies the proof received from `side`.
     ///
     /// # Errors
-    /// A proof made under another key or for another link.
+    /// A proof made with another key, or for another link or role.
     pub fn check(
         &self,
         side: Side,
@@ -156,10 +156,10 @@
 }
 
 impl Hello {
-    /// Checks that `theirs` may speak to `self`.
+    /// Checks that the peer that sent `theirs` is compatible with the sender of `self`.
     ///
     /// # Errors
-    /// Another version or deployment.
+    /// A different protocol version or deployment.
     pub fn check(&self, theirs: &Hello) -> Result<(), HelloError> {
         if theirs.version != PROTOCOL_VERSION {
             let theirs = theirs.version;
--- a/crates/wire/src/settings_part.rs
+++ b/crates/wire/src/settings_part.rs
@@ -1,34 +1,36 @@
-//! Questions for settings and parts of them, packed: routes repeat the same names and values.
+//! Requests for settings and replies with parts of them. Parts are compressed, since routes repeat
+//! the same names and values.
 
 use lynxcleat_settings::{CopyAsk, CopyBase, Digest, Generation, TreePart};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
 use crate::codec::CodecError;
-use crate::packed::{pack, unpack};
+use crate::compression::{compress, decompress};
 
-/// Asks for what the asker lacks of the settings in force.
+/// Requests the part of the current settings that the requester does not have.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SettingsAsk {
-    /// Number of the ask.
+    /// Number of the request.
     #[serde(rename = "a")]
     pub ask: u64,
-    /// Generation in force at the asker; an older one is of no use to it.
+    /// Current generation of the requester, which has no use for an older one.
     #[serde(rename = "g")]
     pub in_force: u64,
-    /// The first unit that is wanted.
+    /// Index of the first requested unit.
     #[serde(rename = "f")]
     first: u16,
-    /// Digest of the tree that the asker began with; absent where `sums` say what it has.
+    /// Digest of the tree on which the requester's copy is based; absent if `sums` describe the
+    /// copy.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     base: Option<String>,
-    /// Sums of the units from the first on, eight bytes each.
+    /// Checksums of the units from `first` on, in little-endian byte order, eight bytes each.
     #[serde(rename = "s", default, skip_serializing_if = "is_empty")]
     sums: ByteBuf,
 }
 
 impl SettingsAsk {
-    /// A question of a side that has some generation in force, and so much of a newer one.
+    /// Creates a request for the missing part of a generation newer than `in_force`.
     pub fn new(ask: u64, in_force: u64, wanted: &CopyAsk) -> Self {
         let (base, sums) = match &wanted.base {
             CopyBase::Tree(digest) => (Some(digest.to_string()), Vec::new()),
@@ -46,7 +48,7 @@
         }
     }
 
-    /// What the asker wants.
+    /// Returns the requested range and the base of the requester's copy.
     pub fn wanted(&self) -> CopyAsk {
         let sums = || {
             let (sums, _) = self.sums.as_chunks();
@@ -63,28 +65,28 @@
     }
 }
 
-/// A part of a generation.
+/// Compressed part of a generation of settings.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SettingsPart {
-    /// Its number.
+    /// Number of the generation.
     #[serde(rename = "g")]
     pub generation: u64,
-    /// Digest by which its content is known.
+    /// Digest that identifies the content of the generation.
     #[serde(rename = "d")]
     pub digest: String,
-    /// Digest of its entries, by which the copy is checked.
+    /// Digest of the generation's entries, by which the complete copy is verified.
     #[serde(rename = "e")]
     pub entries_digest: String,
-    /// The part, packed.
+    /// Compressed encoding of the part.
     #[serde(rename = "b")]
     body: ByteBuf,
 }
 
 impl SettingsPart {
-    /// Packs a part of a generation whose entries have a digest.
+    /// Compresses a part of a generation.
     ///
     /// # Errors
-    /// Never for a part of a tree; kept typed all the same.
+    /// Failure to encode the part; does not occur for parts of a tree.
     pub fn pack(
         generation: &Generation,
         entries_digest: &str,
@@ -94,37 +96,37 @@
             generation: generation.number,
             digest: generation.digest.to_string(),
             entries_digest: entries_digest.to_owned(),
-            body: ByteBuf::from(pack(part)?),
+            body: ByteBuf::from(compress(part)?),
         })
     }
 
-    /// Bytes of the packed part.
+    /// Returns the compressed size, in bytes.
     pub fn bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// The part.
+    /// Decompresses the part.
     ///
     /// # Errors
-    /// Bytes that are no part.
+    /// Bytes that are not a valid part.
     pub fn unpack(&self) -> Result<TreePart, CodecError> {
-        unpack(&self.body)
+        decompress(&self.body)
     }
 }
 
-/// What becomes of a question.
+/// Reply to a [`SettingsAsk`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SettingsReply {
-    /// Nothing newer is in force there.
+    /// The replying daemon has no newer generation.
     Nothing,
-    /// Others are being sent as much as may be; there will be room later.
+    /// The replying daemon is already sending as many parts to others as its limit allows.
     Busy {
-        /// After so many milliseconds.
+        /// Delay before the next request, in milliseconds.
         after_ms: u64,
     },
-    /// The tree that the asker began with is not known there.
+    /// The replying daemon does not have the tree on which the requester's copy is based.
     UnknownBase,
-    /// A part.
+    /// The requested part.
     Part(Box<SettingsPart>),
 }
 
--- a/crates/wire/tests/homes.rs
+++ b/crates/wire/tests/homes.rs
@@ -1,11 +1,11 @@
-//! Home regions of a call on the wire.
+//! Encoding of a call's home regions.
 
 use lynxcleat_policy::{AttemptId, CallKind, Elsewhere, Homes};
 use lynxcleat_wire::{CallFrame, Envelope, Frame, RequestHead, decode, encode};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
-fn envelope(homes: Homes) -> Envelope {
+fn call_envelope(homes: Homes) -> Envelope {
     let call = CallFrame {
         attempt: AttemptId(1),
         call: "c".to_owned(),
@@ -40,16 +40,20 @@
 #[case::one(Homes::from(vec!["r1".to_owned()]))]
 #[case::two(Homes::from(vec!["r1".to_owned(), "r2".to_owned()]))]
 #[case::nowhere(Homes::from(Vec::new()))]
-fn what_arrives_allows_what_was_sent(#[case] homes: Homes) {
-    let sent = envelope(homes);
-    let bytes = encode(&sent).expect("encoded");
-    assert_eq!(decode(&bytes).expect("decoded"), sent);
+fn home_regions_survive_encoding(#[case] homes: Homes) {
+    let sent = call_envelope(homes);
+    let bytes = encode(&sent).expect("call encodes");
+    assert_eq!(decode(&bytes).expect("call decodes"), sent);
 }
 
 #[test]
-fn a_call_without_home_regions_costs_no_byte_for_them() {
-    let size = |homes| encode(&envelope(homes)).expect("encoded").len();
-    let key_and_empty_list = 3;
-    let empty = size(Homes::from(Vec::new()));
-    assert_eq!(empty - size(Homes::Anywhere), key_and_empty_list);
+fn unrestricted_home_regions_are_not_encoded() {
+    let encoded_size = |homes| encode(&call_envelope(homes)).expect("call encodes").len();
+    let key_and_empty_list_bytes = 3;
+    let size_with_empty_list = encoded_size(Homes::from(Vec::new()));
+    let size_without_list = encoded_size(Homes::Anywhere);
+    assert_eq!(
+        size_with_empty_list - size_without_list,
+        key_and_empty_list_bytes
+    );
 }
--- a/crates/wire/tests/mesh.rs
+++ b/crates/wire/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! Messages read back, malformed ones are refused, and keys are proved.
+//! Message encoding, rejection of malformed messages and authentication by the shared key.
 
 use lynxcleat_once::Incarnation;
 use lynxcleat_policy::{AttemptId, TargetLoad};
@@ -29,7 +29,7 @@
     }
 }
 
-fn answer() -> Envelope {
+fn answer_envelope() -> Envelope {
     Envelope {
         generation: 4,
         frame: Frame::Answer {
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn messages_read_back() {
+fn messages_survive_encoding() {
     for envelope in [
-        answer(),
+        answer_envelope(),
         Envelope {
             generation: 0,
             frame: Frame::Hello(Box::new(hello(u128::MAX))),
@@ -87,36 +87,39 @@
 }
 
 #[test]
-fn a_message_cut_anywhere_or_with_bytes_behind_it_is_refused() {
-    let bytes = encode(&answer()).expect("encodes");
+fn truncated_messages_and_trailing_bytes_are_rejected() {
+    let bytes = encode(&answer_envelope()).expect("encodes");
     for end in 0..bytes.len() {
-        assert!(decode(&bytes[..end]).is_err(), "cut at {end}");
+        assert!(decode(&bytes[..end]).is_err(), "truncated to {end} bytes");
     }
-    let mut longer = bytes;
-    longer.push(0);
-    assert!(matches!(decode(&longer), Err(CodecError::Trailing(1))));
+    let mut with_trailing_byte = bytes;
+    with_trailing_byte.push(0);
+    assert!(matches!(
+        decode(&with_trailing_byte),
+        Err(CodecError::Trailing(1))
+    ));
 }
 
 #[rstest]
-#[case::own_key_and_side(b"0123456789abcdef", Side::Dialer, 1, Ok(()))]
+#[case::same_key_and_side(b"0123456789abcdef", Side::Dialer, 1, Ok(()))]
 #[case::other_key(b"0123456789abcdeX", Side::Dialer, 1, Err(HelloError::BadProof))]
 #[case::reflected(b"0123456789abcdef", Side::Acceptor, 1, Err(HelloError::BadProof))]
 #[case::replayed(b"0123456789abcdef", Side::Dialer, 3, Err(HelloError::BadProof))]
-fn a_proof_holds_for_one_key_side_and_link(
+fn proof_is_valid_only_for_its_key_side_and_link(
     #[case] key: &[u8],
     #[case] side: Side,
     #[case] nonce: u128,
     #[case] expected: Result<(), HelloError>,
 ) {
-    let ours = SharedKey::new(b"0123456789abcdef").expect("long enough");
-    let theirs = SharedKey::new(key).expect("long enough");
+    let ours = SharedKey::new(b"0123456789abcdef").expect("key is long enough");
+    let theirs = SharedKey::new(key).expect("key is long enough");
     let proof = theirs.prove(side, &hello(nonce), &hello(2));
-    let checked = ours.check(Side::Dialer, &hello(1), &hello(2), &proof);
-    assert_eq!(checked, expected);
+    let result = ours.check(Side::Dialer, &hello(1), &hello(2), &proof);
+    assert_eq!(result, expected);
 }
 
 #[test]
-fn other_versions_deployments_and_short_keys_are_refused() {
+fn other_versions_other_deployments_and_short_keys_are_refused() {
     let mut theirs = hello(1);
     theirs.version += 1;
     assert!(matches!(
@@ -125,8 +128,8 @@
     ));
     let mut theirs = hello(1);
     theirs.deployment = "other".to_owned();
-    let refused = hello(2).check(&theirs);
-    assert!(matches!(refused, Err(HelloError::Deployment { .. })));
+    let result = hello(2).check(&theirs);
+    assert!(matches!(result, Err(HelloError::Deployment { .. })));
     assert!(matches!(
         SharedKey::new(b"short"),
         Err(HelloError::ShortKey(5))
@@ -136,18 +139,18 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(9), cases: 4_000, failure_persistence: None, ..Config::default() })]
 
-    /// Any bytes, and any message with bytes changed, are read or refused, and
-    /// never cost more than their own size to refuse.
+    /// Guards against panics in the decoder: arbitrary bytes and messages with altered bytes are
+    /// either decoded or rejected.
     #[test]
-    fn no_bytes_break_the_reader(
-        noise in prop::collection::vec(any::<u8>(), 0..200),
+    fn decoder_does_not_panic_on_arbitrary_bytes(
+        arbitrary in prop::collection::vec(any::<u8>(), 0..200),
         changes in prop::collection::vec((any::<usize>(), any::<u8>()), 0..8),
     ) {
-        let _ = decode(&noise);
-        let mut bytes = encode(&answer()).expect("encodes");
-        for (at, byte) in changes {
-            let at = at % bytes.len();
-            bytes[at] = byte;
+        let _ = decode(&arbitrary);
+        let mut bytes = encode(&answer_envelope()).expect("encodes");
+        for (index, byte) in changes {
+            let index = index % bytes.len();
+            bytes[index] = byte;
         }
         let _ = decode(&bytes);
     }
@@ -159,7 +162,7 @@
 #[case(0)]
 #[case(1)]
 #[case(984)]
-fn rows_come_out_as_they_went_in(#[case] count: u64) {
+fn rows_survive_compression(#[case] count: u64) {
     let row = |number: u64| RowFrame {
         key: format!("member/host-{number}"),
         value: Some(ByteBuf::from(format!(
@@ -168,7 +171,7 @@
         version: number,
     };
     let rows: Vec<RowFrame> = (0..count).map(row).collect();
-    let plain: usize = rows.iter().map(|row| row.key.len() + 70).sum();
+    let uncompressed_size: usize = rows.iter().map(|row| row.key.len() + 70).sum();
     let envelope = Envelope {
         generation: 1,
         frame: Frame::Rows(RowsFrame {
@@ -184,8 +187,8 @@
     let bytes = encode(&envelope).expect("encodes");
     assert_eq!(decode(&bytes).expect("decodes"), envelope);
     assert!(
-        count < 100 || bytes.len() * 3 < plain,
-        "{} of {plain}",
+        count < 100 || bytes.len() * 3 < uncompressed_size,
+        "compressed {uncompressed_size} bytes only to {}",
         bytes.len()
     );
 }
