--- a/crates/daemon/src/callers/pieces.rs
+++ b/crates/daemon/src/callers/pieces.rs
@@ -5,7 +5,7 @@
 use hyper::body::{Body, Bytes};
 use lynxcleat_policy::{AttemptId, SendWindow};
 use lynxcleat_settings::Effective;
-use lynxcleat_wire::PieceFrame;
+use lynxcleat_wire::BodyChunkFrame;
 use serde_bytes::ByteBuf;
 
 use super::body::CallerBody;
@@ -199,7 +199,7 @@
         let bytes = self.rest.split_to(length);
         let is_allowed = self.window.try_send(length as u64, last);
         debug_assert!(is_allowed, "the piece is within the window");
-        let piece = PieceFrame {
+        let piece = BodyChunkFrame {
             attempt: to.attempt,
             bytes: ByteBuf::from(bytes.to_vec()),
             last,
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -6,7 +6,7 @@
 use hyper::http::request::Parts;
 use lynxcleat_policy::{CallId, CallKind, Homes, Micros};
 use lynxcleat_settings::{Effective, NamedOrganisation, NamedRoute, Route, RouteEffects};
-use lynxcleat_wire::{BodyToCome, CallingOrganisation};
+use lynxcleat_wire::{BodyAnnouncement, CallingOrganisation};
 use rand::RngExt;
 use serde::Serialize;
 use serde_bytes::ByteBuf;
@@ -261,11 +261,11 @@
     /// Read whole, and sent in pieces behind its call.
     Ahead,
     /// Read and sent in pieces once the target has a slot.
-    InWindow(BodyToCome),
+    InWindow(BodyAnnouncement),
 }
 
 impl Way {
-    fn to_come(self) -> Option<BodyToCome> {
+    fn to_come(self) -> Option<BodyAnnouncement> {
         match self {
             Way::Whole | Way::Ahead => None,
             Way::InWindow(to_come) => Some(to_come),
@@ -291,7 +291,7 @@
         return Way::Ahead;
     }
     let ahead = false;
-    Way::InWindow(BodyToCome { length, ahead })
+    Way::InWindow(BodyAnnouncement { length, ahead })
 }
 
 /// Runs a call whose body is read while it runs. Its answer may come before the body's end.
@@ -342,7 +342,7 @@
     core: &'a Core,
     effective: &Effective,
     body: &impl Body,
-    to_come: Option<BodyToCome>,
+    to_come: Option<BodyAnnouncement>,
 ) -> Result<Taken<'a>, Problem> {
     let stated = body.size_hint().exact();
     let bytes = match to_come {
--- a/crates/daemon/src/directory/spread.rs
+++ b/crates/daemon/src/directory/spread.rs
@@ -12,7 +12,7 @@
 use lynxcleat_store::{
     DeltaTaken, Follower, KeyAsk, KeyReply, Missing, RowDelta, RowDigest, RowVersion, StoredRow,
 };
-use lynxcleat_wire::{Frame, RowDigestFrame, RowFrame, RowKeysFrame, RowsAsk, RowsFrame};
+use lynxcleat_wire::{Frame, RowDigestFrame, RowFrame, RowKeysFrame, RowsFrame, RowsRequest};
 use serde_bytes::ByteBuf;
 
 use super::state::DirectoryState;
@@ -83,13 +83,13 @@
 }
 
 /// Builds the request to a neighbour for missing changes or removals.
-fn rows_ask(missing: Missing) -> RowsAsk {
+fn rows_ask(missing: Missing) -> RowsRequest {
     match missing {
-        Missing::Changes { after } => RowsAsk {
+        Missing::Changes { after } => RowsRequest {
             after,
             sums: Vec::new(),
         },
-        Missing::Removals(ask) => RowsAsk {
+        Missing::Removals(ask) => RowsRequest {
             after: ask.after,
             sums: ask.sums,
         },
@@ -98,7 +98,7 @@
 
 /// Answers a neighbour's request for the changes after a version and, if it sent bucket sums, for
 /// the keys in the buckets that differ.
-pub fn send_rows(core: &Core, link: &Link, ask: &RowsAsk) {
+pub fn send_rows(core: &Core, link: &Link, ask: &RowsRequest) {
     let Some(directory) = &core.directory else {
         return;
     };
--- a/crates/daemon/src/half/bodies.rs
+++ b/crates/daemon/src/half/bodies.rs
@@ -15,7 +15,7 @@
 use futures_util::StreamExt;
 use hyper::body::{Body, Bytes, Frame as BodyFrame, SizeHint};
 use lynxcleat_policy::{AttemptId, BodyCreditScheduler, Micros, ReceiveWindow};
-use lynxcleat_wire::{BodyToCome, Frame, PieceFrame};
+use lynxcleat_wire::{BodyAnnouncement, BodyChunkFrame, Frame};
 use serde_bytes::ByteBuf;
 use thiserror::Error;
 
@@ -188,7 +188,7 @@
         &self,
         link: &Arc<Link>,
         attempt: AttemptId,
-        (to_come, window): (BodyToCome, usize),
+        (to_come, window): (BodyAnnouncement, usize),
     ) -> Expected {
         let (pieces, arrived) = flume::unbounded();
         let key = (link.id, attempt);
@@ -217,7 +217,7 @@
     }
 
     /// A piece arrived. One that may not come cuts its body.
-    pub fn take_piece(&self, metrics: &Metrics, link: &Link, piece: PieceFrame) {
+    pub fn take_piece(&self, metrics: &Metrics, link: &Link, piece: BodyChunkFrame) {
         let key = (link.id, piece.attempt);
         let mut arriving = lock(&self.arriving);
         let Some(body) = arriving.get(&key) else {
--- a/crates/daemon/src/half/deliver.rs
+++ b/crates/daemon/src/half/deliver.rs
@@ -2,7 +2,7 @@
 
 use lynxcleat_once::OpId;
 use lynxcleat_policy::{AdmissionEvent, AttemptId, Micros, Outcome, RefusalReason};
-use lynxcleat_wire::{BodyToCome, CallFrame};
+use lynxcleat_wire::{BodyAnnouncement, CallFrame};
 
 use super::bodies::Expected;
 use super::cut::note_cut;
@@ -163,7 +163,7 @@
     async fn exchange_in_pieces(
         &self,
         op: Option<OpId>,
-        (call, to_come): (CallFrame, BodyToCome),
+        (call, to_come): (CallFrame, BodyAnnouncement),
         instance: Option<String>,
     ) -> (Exchange, Option<Micros>) {
         let window = self.settings.body_window_bytes;
--- a/crates/daemon/src/mesh/link.rs
+++ b/crates/daemon/src/mesh/link.rs
@@ -7,7 +7,7 @@
 use lynxcleat_policy::{
     AttemptId, Distance, Micros, Refusal, Settlement, TargetExitId, TargetLoad,
 };
-use lynxcleat_wire::{Answer, CallFrame, Frame, Hello, PieceFrame, Side};
+use lynxcleat_wire::{Answer, BodyChunkFrame, CallFrame, Frame, Hello, Side};
 use thiserror::Error;
 use tokio::sync::watch;
 
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     /// A link that is or becomes closed.
-    pub async fn send_piece(&self, piece: PieceFrame) -> Result<(), LinkClosed> {
+    pub async fn send_piece(&self, piece: BodyChunkFrame) -> Result<(), LinkClosed> {
         if self.is_closed() {
             return Err(LinkClosed);
         }
--- a/crates/daemon/src/mesh/queue.rs
+++ b/crates/daemon/src/mesh/queue.rs
@@ -1,6 +1,6 @@
 //! What a link has to send: small messages, and pieces of bodies behind them.
 
-use lynxcleat_wire::{Frame, PieceFrame};
+use lynxcleat_wire::{BodyChunkFrame, Frame};
 
 /// Small messages sent in a row before a piece that waits has its turn: bodies go on
 /// however many small messages there are.
@@ -16,13 +16,13 @@
 
 /// A piece, and who waits until it left.
 pub(super) struct PieceOut {
-    pub piece: PieceFrame,
+    pub piece: BodyChunkFrame,
     pub left: flume::Sender<()>,
 }
 
 impl PieceOut {
     /// A piece with a receiver that hears when it left.
-    pub(super) fn new(piece: PieceFrame) -> (Self, flume::Receiver<()>) {
+    pub(super) fn new(piece: BodyChunkFrame) -> (Self, flume::Receiver<()>) {
         let (left, is_left) = flume::bounded(1);
         (PieceOut { piece, left }, is_left)
     }
--- a/crates/daemon/src/quarantine/request.rs
+++ b/crates/daemon/src/quarantine/request.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::HeaderName;
 use lynxcleat_policy::{Micros, RequestFingerprints, Standing, SuspectNews, TargetExitId};
-use lynxcleat_wire::{RequestHead, request_prints};
+use lynxcleat_wire::{RequestHead, request_fingerprints};
 
 use super::QuarantineState;
 use crate::dialect::Dialect;
@@ -39,7 +39,7 @@
                 let name = HeaderName::from_bytes(name.as_bytes());
                 name.is_ok_and(|name| (self.dialect.is_ours)(&name))
             };
-            request_prints(
+            request_fingerprints(
                 self.head,
                 self.body,
                 self.caller_service,
--- a/crates/daemon/src/quota/ask.rs
+++ b/crates/daemon/src/quota/ask.rs
@@ -5,7 +5,7 @@
 
 use lynxcleat_policy::{Micros, QuotaGrant, TokenRequest};
 use lynxcleat_settings::NamedOrganisation;
-use lynxcleat_wire::{Frame, QuotaAsk};
+use lynxcleat_wire::{Frame, QuotaRequest};
 
 use super::owners;
 use super::state::{SharedLease, limit_of};
@@ -145,7 +145,7 @@
 ) -> Option<Frame> {
     let link = link_to(core, host).await?;
     let asked = link.ask(|ask| {
-        Frame::AskQuota(QuotaAsk {
+        Frame::AskQuota(QuotaRequest {
             ask,
             organisation: named.name.clone(),
             owner: owner.to_owned(),
@@ -165,7 +165,7 @@
 }
 
 /// Answers a token request of another daemon or forwards it to the owner of the bucket.
-pub fn answer(core: &Arc<Core>, link: &Arc<Link>, ask: QuotaAsk) {
+pub fn answer(core: &Arc<Core>, link: &Arc<Link>, ask: QuotaRequest) {
     if ask.owner == core.config.host {
         let reply = answer_as_owner(core, &ask);
         let _ = link.send(reply);
@@ -180,7 +180,7 @@
     });
 }
 
-fn answer_as_owner(core: &Core, ask: &QuotaAsk) -> Frame {
+fn answer_as_owner(core: &Core, ask: &QuotaRequest) -> Frame {
     let in_force = core.settings.current();
     let tree = in_force.as_ref().map(|in_force| &in_force.generation.tree);
     let named = tree.and_then(|tree| tree.organisation(&ask.organisation));
@@ -199,7 +199,7 @@
 
 /// Forwards a request to the owner. Reports the owner as unreachable if there is no link to it or
 /// no response in time.
-async fn forward(owner_link: Option<Arc<Link>>, request: &QuotaAsk) -> Frame {
+async fn forward(owner_link: Option<Arc<Link>>, request: &QuotaRequest) -> Frame {
     let unreachable = Frame::Quota {
         ask: request.ask,
         tokens: 0,
@@ -210,7 +210,7 @@
         return unreachable;
     };
     let answered = link.ask(|ask| {
-        Frame::AskQuota(QuotaAsk {
+        Frame::AskQuota(QuotaRequest {
             ask,
             ..request.clone()
         })
--- a/crates/daemon/src/rollout/own.rs
+++ b/crates/daemon/src/rollout/own.rs
@@ -1,7 +1,7 @@
 //! What a rollout changes for the own target's half.
 
 use lynxcleat_policy::{AdmittedCalls, Phase, TargetEvidence};
-use lynxcleat_wire::{Frame, IdleFrame};
+use lynxcleat_wire::{Frame, RolloutIdleFrame};
 
 use super::division::{any_other, place_in_order};
 use crate::core::Core;
@@ -86,7 +86,7 @@
 }
 
 /// Says that the own half has no call in hand, where the calls move away from it.
-pub(super) fn idle(core: &Core) -> Option<IdleFrame> {
+pub(super) fn idle(core: &Core) -> Option<RolloutIdleFrame> {
     let service = core.half.service(core);
     let version = own_version(core);
     let order = core.rollouts.with(|known| {
@@ -97,7 +97,7 @@
     let figures = core.half.figures();
     let is_idle = figures.in_flight == 0 && figures.held == 0;
     let is_idle = is_idle && core.half.is_leaving() && core.life.target_calls.count() == 0;
-    is_idle.then(|| IdleFrame {
+    is_idle.then(|| RolloutIdleFrame {
         service,
         order,
         host: core.config.host.clone(),
--- a/crates/daemon/src/rollout/spread.rs
+++ b/crates/daemon/src/rollout/spread.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use lynxcleat_policy::{RolloutChange, RolloutOrder, RolloutUpdate, TargetEvidence};
-use lynxcleat_wire::{Frame, IdleFrame};
+use lynxcleat_wire::{Frame, RolloutIdleFrame};
 
 use super::{changed, status};
 use crate::core::Core;
@@ -62,7 +62,7 @@
 }
 
 /// The half of an old target is idle. Neighbours hear of it: not everyone has a link to it.
-pub fn take_idle(core: &Core, link: &Link, idle: IdleFrame) {
+pub fn take_idle(core: &Core, link: &Link, idle: RolloutIdleFrame) {
     if !note_idle(core, &idle) {
         return;
     }
@@ -78,7 +78,7 @@
 }
 
 /// Returns whether it is news.
-pub(super) fn note_idle(core: &Core, idle: &IdleFrame) -> bool {
+pub(super) fn note_idle(core: &Core, idle: &RolloutIdleFrame) -> bool {
     core.rollouts.with(|known| {
         let rollout = known.get_mut(&idle.service);
         rollout.is_some_and(|rollout| rollout.record_idle(idle.order, &idle.host))
--- a/crates/daemon/src/route/ahead.rs
+++ b/crates/daemon/src/route/ahead.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lynxcleat_policy::{AttemptId, SendWindow};
-use lynxcleat_wire::PieceFrame;
+use lynxcleat_wire::BodyChunkFrame;
 use serde_bytes::ByteBuf;
 use tokio::task::JoinHandle;
 
@@ -54,7 +54,7 @@
             let (bytes, after) = rest.split_at(rest.len().min(PIECE_BYTES).min(room));
             let last = after.is_empty();
             window.try_send(bytes.len() as u64, last);
-            let piece = PieceFrame {
+            let piece = BodyChunkFrame {
                 attempt,
                 bytes: ByteBuf::from(bytes.to_vec()),
                 last,
--- a/crates/daemon/src/route/offer.rs
+++ b/crates/daemon/src/route/offer.rs
@@ -1,7 +1,7 @@
 //! Offering a call to a target's daemon, and what goes on the link for it afterwards.
 
 use lynxcleat_policy::{AttemptId, Elsewhere, Event, TargetId, TargetLoad};
-use lynxcleat_wire::{BodyToCome, CallFrame, Frame, Header};
+use lynxcleat_wire::{BodyAnnouncement, CallFrame, Frame, Header};
 use serde_bytes::ByteBuf;
 
 use super::ahead;
@@ -58,13 +58,13 @@
     }
 
     /// How the body goes, and what is sent of it with the call.
-    pub(super) fn body(&self) -> (ByteBuf, Option<BodyToCome>) {
+    pub(super) fn body(&self) -> (ByteBuf, Option<BodyAnnouncement>) {
         let length = Some(self.call.body.len() as u64);
         match (&self.call.upload, self.call.ahead) {
             (Some(upload), _) => (ByteBuf::new(), Some(upload.to_come)),
             (None, true) => {
                 let ahead = true;
-                (ByteBuf::new(), Some(BodyToCome { length, ahead }))
+                (ByteBuf::new(), Some(BodyAnnouncement { length, ahead }))
             }
             (None, false) => (self.call.body.clone(), None),
         }
--- a/crates/daemon/src/route/upload.rs
+++ b/crates/daemon/src/route/upload.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use lynxcleat_policy::AttemptId;
-use lynxcleat_wire::BodyToCome;
+use lynxcleat_wire::BodyAnnouncement;
 
 use crate::mesh::Link;
 use crate::sync::lock;
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Upload {
     /// What is said of it beforehand.
-    pub to_come: BodyToCome,
+    pub to_come: BodyAnnouncement,
     opened: flume::Sender<Opened>,
     place: Arc<Mutex<Place>>,
 }
@@ -50,7 +50,7 @@
 }
 
 /// Both ends for one call.
-pub fn upload(to_come: BodyToCome) -> (Upload, UploadReader) {
+pub fn upload(to_come: BodyAnnouncement) -> (Upload, UploadReader) {
     let (sender, opened) = flume::unbounded();
     let place = Arc::new(Mutex::new(Place::default()));
     let upload = Upload {
--- a/crates/daemon/src/settings/catch_up.rs
+++ b/crates/daemon/src/settings/catch_up.rs
@@ -8,7 +8,7 @@
 
 use lynxcleat_policy::{NextSource, SettingsSource, SettingsSourceSelector};
 use lynxcleat_settings::{CopyError, CopyStep, Digest, Generation, OfferError, Tree, TreeCopy};
-use lynxcleat_wire::{CodecError, Frame, SettingsAsk, SettingsPart, SettingsReply};
+use lynxcleat_wire::{CodecError, Frame, SettingsPart, SettingsReply, SettingsRequest};
 use rand::RngExt;
 use thiserror::Error;
 
@@ -237,7 +237,7 @@
 async fn ask(core: &Core, link: &Link, copy: &TreeCopy) -> Asked {
     let in_force = core.settings.number();
     let wanted = copy.ask();
-    let asked = link.ask(|ask| Frame::AskSettings(SettingsAsk::new(ask, in_force, &wanted)));
+    let asked = link.ask(|ask| Frame::AskSettings(SettingsRequest::new(ask, in_force, &wanted)));
     let (outcome, asked) = match tokio::time::timeout(PART_LIMIT, asked).await {
         Ok(Ok(Frame::Settings { reply, .. })) => match reply {
             SettingsReply::Part(part) => ("part", Asked::Part(part)),
--- a/crates/daemon/src/settings/serve.rs
+++ b/crates/daemon/src/settings/serve.rs
@@ -1,7 +1,7 @@
 //! Answering peers that ask for settings.
 
 use lynxcleat_settings::{CopyAsk, CopyBase, Tree, TreePart};
-use lynxcleat_wire::{CodecError, Frame, SettingsAsk, SettingsPart, SettingsReply};
+use lynxcleat_wire::{CodecError, Frame, SettingsPart, SettingsReply, SettingsRequest};
 
 use super::state::InForce;
 use crate::core::Core;
@@ -12,7 +12,7 @@
 const PART_BYTES: usize = 32 << 10;
 
 /// A peer asks for the settings.
-pub fn answer(core: &Core, link: &Link, ask: SettingsAsk) {
+pub fn answer(core: &Core, link: &Link, ask: SettingsRequest) {
     let reply = match core.settings.current() {
         Some(in_force) if in_force.generation.number > ask.in_force => {
             send_part(core, link, &in_force, &ask).unwrap_or_else(|error| {
@@ -32,7 +32,7 @@
     core: &Core,
     link: &Link,
     in_force: &InForce,
-    ask: &SettingsAsk,
+    ask: &SettingsRequest,
 ) -> Result<SettingsReply, CodecError> {
     let now = core.clock.now();
     let wait = core.settings.copy_rate().delay(now);
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -28,7 +28,7 @@
 use lynxcleat_policy::{CallKind, Homes, SeenEnd, SuspectNews, TargetExitId};
 use lynxcleat_standin::{TargetFaults, wait_until};
 use lynxcleat_store::keys;
-use lynxcleat_wire::{CallFrame, Frame, request_prints};
+use lynxcleat_wire::{CallFrame, Frame, request_fingerprints};
 use rstest::rstest;
 use serde_json::json;
 use support::{Fleet, PATIENCE, Peer, Plan, Reply, call_evenly, tree, try_call};
@@ -346,7 +346,7 @@
 /// What a router tells of a call under which one target ended.
 fn suspect(call: &CallFrame) -> SuspectNews {
     let is_ours = |name: &str| name.starts_with("lynxcleat-");
-    let prints = request_prints(&call.head, &call.body, None, None, is_ours);
+    let prints = request_fingerprints(&call.head, &call.body, None, None, is_ours);
     SuspectNews {
         ends: vec![SeenEnd {
             end: TargetExitId(call.attempt.0),
--- a/crates/daemon/tests/large_bodies/half.rs
+++ b/crates/daemon/tests/large_bodies/half.rs
@@ -2,7 +2,7 @@
 
 use lynxcleat_policy::{AttemptId, CallKind, Elsewhere, Homes, RefusalReason};
 use lynxcleat_standin::wait_until;
-use lynxcleat_wire::{BodyToCome, CallFrame, Frame, Header, PieceFrame, RequestHead};
+use lynxcleat_wire::{BodyAnnouncement, BodyChunkFrame, CallFrame, Frame, Header, RequestHead};
 use serde_json::json;
 
 use super::{WINDOW, body, cut_by, plan, target};
@@ -36,7 +36,7 @@
             headers: vec![Header("host".to_owned(), b"stock".to_vec().into())],
         },
         body: Vec::new().into(),
-        to_come: Some(BodyToCome {
+        to_come: Some(BodyAnnouncement {
             length: Some(length),
             ahead: false,
         }),
@@ -45,7 +45,7 @@
 
 async fn send_piece(peer: &mut Peer, attempt: AttemptId, bytes: Vec<u8>, last: bool) {
     let bytes = bytes.into();
-    let piece = PieceFrame {
+    let piece = BodyChunkFrame {
         attempt,
         bytes,
         last,
@@ -133,7 +133,7 @@
         let mut peer = dialed(worker).await;
         for (attempt, whole) in [(AttemptId(1), false), (AttemptId(2), true)] {
             let mut call = call_in_pieces(attempt, 20_000);
-            call.to_come = Some(BodyToCome {
+            call.to_come = Some(BodyAnnouncement {
                 length: Some(20_000),
                 ahead: true,
             });
@@ -168,7 +168,7 @@
         let offered = |nth: u64, elsewhere| {
             let mut call = call_in_pieces(AttemptId(nth), LENGTH);
             call.elsewhere = elsewhere;
-            call.to_come = Some(BodyToCome {
+            call.to_come = Some(BodyAnnouncement {
                 length: Some(LENGTH),
                 ahead: true,
             });
--- a/crates/daemon/tests/large_bodies/router.rs
+++ b/crates/daemon/tests/large_bodies/router.rs
@@ -8,7 +8,7 @@
 use lynxcleat_settings::{Tree, TreeCopy};
 use lynxcleat_standin::wait_until;
 use lynxcleat_store::{HostEntry, HostState};
-use lynxcleat_wire::{BodyToCome, CallFrame, Frame, PieceFrame, SettingsAsk};
+use lynxcleat_wire::{BodyAnnouncement, BodyChunkFrame, CallFrame, Frame, SettingsRequest};
 use serde_json::json;
 use tokio::net::TcpListener;
 
@@ -66,7 +66,7 @@
     peer.receive_until(wanted).await
 }
 
-async fn next_piece(peer: &mut Peer) -> PieceFrame {
+async fn next_piece(peer: &mut Peer) -> BodyChunkFrame {
     let wanted = |frame| match frame {
         Frame::Piece(piece) => Some(piece),
         _ => None,
@@ -108,7 +108,7 @@
         assert!(call.body.is_empty());
         assert_eq!(
             call.to_come,
-            Some(BodyToCome {
+            Some(BodyAnnouncement {
                 length: Some(100_000),
                 ahead: false
             })
@@ -130,7 +130,7 @@
                 assert_eq!(piece.last, got.len() == sent.len());
             }
             assert_eq!(got.len(), before + granted as usize);
-            let asked = SettingsAsk::new(1, u64::MAX, &TreeCopy::of(&Tree::default()).ask());
+            let asked = SettingsRequest::new(1, u64::MAX, &TreeCopy::of(&Tree::default()).ask());
             peer.send(Frame::AskSettings(asked)).await;
             loop {
                 match peer.receive().await {
--- a/crates/wire/src/fingerprints.rs
+++ b/crates/wire/src/fingerprints.rs
@@ -12,7 +12,7 @@
 
 /// Computes the fingerprints of a request made by a service on behalf of an organisation. Headers
 /// for which `is_internal` returns true are excluded, since their values differ between attempts.
-pub fn request_prints(
+pub fn request_fingerprints(
     head: &RequestHead,
     body: &[u8],
     caller_service: Option<&str>,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -9,7 +9,7 @@
 use serde_bytes::ByteBuf;
 
 use crate::hello::{Hello, Proof};
-use crate::settings_part::{SettingsAsk, SettingsReply};
+use crate::settings_part::{SettingsReply, SettingsRequest};
 
 /// A message with the sender's settings generation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -94,7 +94,7 @@
     pub body: ByteBuf,
     /// Present if the body is streamed.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-    pub to_come: Option<BodyToCome>,
+    pub to_come: Option<BodyAnnouncement>,
 }
 
 /// Organisation on whose behalf a call is made.
@@ -110,7 +110,7 @@
 
 /// Requests tokens from the daemon that owns the bucket of an organisation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Number of the request.
     #[serde(rename = "a")]
     pub ask: u64,
@@ -130,7 +130,7 @@
 
 /// Announces a streamed body.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct BodyToCome {
+pub struct BodyAnnouncement {
     /// Length in bytes, if the caller stated it.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub length: Option<u64>,
@@ -142,7 +142,7 @@
 
 /// A chunk of a streamed body.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PieceFrame {
+pub struct BodyChunkFrame {
     /// Attempt to which the body belongs.
     #[serde(rename = "a")]
     pub attempt: AttemptId,
@@ -274,7 +274,7 @@
 
 /// Requests changes to the member table and, optionally, the keys in the buckets that differ.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RowsAsk {
+pub struct RowsRequest {
     /// Changes after this version are requested.
     #[serde(rename = "a")]
     pub after: u64,
@@ -286,7 +286,7 @@
 /// Reports that a target from which a rollout moves calls has no calls in progress and accepts
 /// none.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct IdleFrame {
+pub struct RolloutIdleFrame {
     /// Service of the rollout.
     #[serde(rename = "s")]
     pub service: String,
@@ -323,7 +323,7 @@
         bytes: u64,
     },
     /// A chunk of a call's body.
-    Piece(PieceFrame),
+    Piece(BodyChunkFrame),
     /// Changed load of the acceptor's target.
     Load(TargetLoad),
     /// Cancels an attempt.
@@ -401,7 +401,7 @@
         verdict: GuardedVerdict,
     },
     /// Requests the parts of the current settings that differ from the requester's copy.
-    AskSettings(SettingsAsk),
+    AskSettings(SettingsRequest),
     /// Reply to [`Frame::AskSettings`].
     Settings {
         /// Number of the request.
@@ -416,13 +416,13 @@
     /// Outcomes counted at the sender's target during a rollout.
     RolloutEvidence(TargetEvidence),
     /// A target from which a rollout moves calls has none in progress.
-    RolloutIdle(IdleFrame),
+    RolloutIdle(RolloutIdleFrame),
     /// Changes to the member table known to the sender.
     Rows(RowsFrame),
     /// Requests during which targets terminated, as known to the sender.
     Suspects(Vec<SuspectNews>),
     /// Requests quota tokens of an organisation.
-    AskQuota(QuotaAsk),
+    AskQuota(QuotaRequest),
     /// Grants quota tokens of an organisation.
     Quota {
         /// Number of the request.
@@ -440,7 +440,7 @@
         unreachable: bool,
     },
     /// Requests changes to the member table.
-    AskRows(RowsAsk),
+    AskRows(RowsRequest),
     /// Ends the neighbour relation between sender and receiver.
     EndNeighbour,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,11 +13,11 @@
 mod settings_part;
 
 pub use codec::{CodecError, decode, encode};
-pub use fingerprints::request_prints;
+pub use fingerprints::request_fingerprints;
 pub use frame::{
-    Answer, BodyToCome, CallFrame, CallingOrganisation, Envelope, Frame, GuardedVerdict, Header,
-    IdleFrame, PieceFrame, QuotaAsk, RequestHead, RowDigestFrame, RowFrame, RowKeysFrame, RowsAsk,
-    RowsFrame,
+    Answer, BodyAnnouncement, BodyChunkFrame, CallFrame, CallingOrganisation, Envelope, Frame,
+    GuardedVerdict, Header, QuotaRequest, RequestHead, RolloutIdleFrame, RowDigestFrame, RowFrame,
+    RowKeysFrame, RowsFrame, RowsRequest,
 };
 pub use hello::{Hello, HelloError, PROTOCOL_VERSION, Proof, SharedKey, Side};
-pub use settings_part::{SettingsAsk, SettingsPart, SettingsReply};
+pub use settings_part::{SettingsPart, SettingsReply, SettingsRequest};
--- a/crates/wire/src/settings_part.rs
+++ b/crates/wire/src/settings_part.rs
@@ -10,7 +10,7 @@
 
 /// Requests the part of the current settings that the requester does not have.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SettingsAsk {
+pub struct SettingsRequest {
     /// Number of the request.
     #[serde(rename = "a")]
     pub ask: u64,
@@ -29,7 +29,7 @@
     sums: ByteBuf,
 }
 
-impl SettingsAsk {
+impl SettingsRequest {
     /// Creates a request for the missing part of a generation newer than `in_force`.
     pub fn new(ask: u64, in_force: u64, wanted: &CopyAsk) -> Self {
         let (base, sums) = match &wanted.base {
@@ -39,7 +39,7 @@
                 (None, bytes.collect())
             }
         };
-        SettingsAsk {
+        SettingsRequest {
             ask,
             in_force,
             first: wanted.first,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Reply to a [`SettingsAsk`].
+/// Reply to a [`SettingsRequest`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SettingsReply {
     /// The replying daemon has no newer generation.
--- a/crates/wire/tests/fingerprints.rs
+++ b/crates/wire/tests/fingerprints.rs
@@ -1,7 +1,7 @@
 //! Which parts of a request determine its fingerprints.
 
 use lynxcleat_policy::{Fingerprint, RequestFingerprints};
-use lynxcleat_wire::{Header, RequestHead, request_prints};
+use lynxcleat_wire::{Header, RequestHead, request_fingerprints};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
@@ -18,7 +18,7 @@
 
 fn fingerprints(head: &RequestHead, body: &str, service: &str) -> RequestFingerprints {
     let is_internal = |name: &str| name.starts_with("lynxcleat-");
-    request_prints(head, body.as_bytes(), Some(service), None, is_internal)
+    request_fingerprints(head, body.as_bytes(), Some(service), None, is_internal)
 }
 
 const HEADERS: &[(&str, &str)] = &[("host", "stock"), ("authorization", "a")];
--- a/crates/wire/tests/mesh.rs
+++ b/crates/wire/tests/mesh.rs
@@ -3,8 +3,8 @@
 use lynxcleat_once::Incarnation;
 use lynxcleat_policy::{AttemptId, TargetLoad};
 use lynxcleat_wire::{
-    Answer, CodecError, Envelope, Frame, Header, Hello, HelloError, PROTOCOL_VERSION, PieceFrame,
-    RowFrame, RowsFrame, SharedKey, Side, decode, encode,
+    Answer, BodyChunkFrame, CodecError, Envelope, Frame, Header, Hello, HelloError,
+    PROTOCOL_VERSION, RowFrame, RowsFrame, SharedKey, Side, decode, encode,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -70,7 +70,7 @@
         },
         Envelope {
             generation: 1,
-            frame: Frame::Piece(PieceFrame {
+            frame: Frame::Piece(BodyChunkFrame {
                 attempt: AttemptId(3),
                 bytes: vec![0xff; 9_000].into(),
                 last: true,
