--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -6,7 +6,7 @@
 
 use crate::entry_set::Entry;
 use crate::error::SettingsError;
-use crate::homes;
+use crate::home_regions;
 use crate::organisation::{self, NamedOrganisation, Organisation};
 use crate::route::{NamedRoute, Route};
 use crate::tree::Tree;
@@ -96,7 +96,7 @@
     /// Fails with the first fault and its path.
     pub fn set_levels(&mut self, nested: &Value) -> Result<(), SettingsError> {
         let levels = Tree::levels_from_json(nested)?;
-        self.tree.take_levels(&levels);
+        self.tree.share_levels_of(&levels);
         Ok(())
     }
 
@@ -106,11 +106,11 @@
     /// Fails if the changes contradict each other or the rest of the tree.
     pub fn finish(mut self) -> Result<Tree, SettingsError> {
         self.tree.check_size()?;
-        match self.tree.has_levels_of(&self.base) {
-            true => self.tree.take_levels(&self.base),
+        match self.tree.has_same_levels(&self.base) {
+            true => self.tree.share_levels_of(&self.base),
             false => self.tree.check_levels()?,
         }
-        homes::check(&self.tree)?;
+        home_regions::check(&self.tree)?;
         if self.tree.organisation_set() != self.base.organisation_set() {
             organisation::check_keys(self.tree.organisation_set())?;
         }
