--- a/crates/daemon/src/directory/confirm.rs
+++ b/crates/daemon/src/directory/confirm.rs
@@ -23,7 +23,7 @@
     for _ in 0..QUESTIONS {
         let is_known = core
             .half
-            .with_reports(|reports| reports.in_place().is_some());
+            .with_reports(|reports| reports.current().is_some());
         if is_known != Some(false) {
             return;
         }
--- a/crates/daemon/src/directory/member.rs
+++ b/crates/daemon/src/directory/member.rs
@@ -51,7 +51,7 @@
 fn own_member(core: &Core) -> Option<Member> {
     let target = core
         .half
-        .with_reports(|reports| reports.in_place().cloned())??;
+        .with_reports(|reports| reports.current().cloned())??;
     let entry = HostEntry {
         host: core.config.host.clone(),
         place: core.config.place.clone(),
@@ -148,7 +148,7 @@
 /// An earlier run of this daemon left word that its target takes calls. Nothing is known of
 /// it here before it reports, so it is asked.
 fn confirm_own(core: &Arc<Core>, member: Member) {
-    let knows_none = |reports: &mut TargetReports| reports.in_place().is_none();
+    let knows_none = |reports: &mut TargetReports| reports.current().is_none();
     if core.half.with_reports(knows_none) == Some(true) {
         let core = Arc::clone(core);
         let earlier = EarlierTarget {
--- a/crates/daemon/src/directory/mod.rs
+++ b/crates/daemon/src/directory/mod.rs
@@ -102,7 +102,7 @@
 
     /// Puts what the target reports in force.
     fn apply_target(&self) {
-        let open = self.half.with_reports(|reports| reports.open().is_some());
+        let open = self.half.with_reports(|reports| reports.ready().is_some());
         self.half.apply_limits();
         self.set_leaving(LeaveCause::Report, open == Some(false));
         rollout::apply_own(self);
--- a/crates/daemon/src/half/state.rs
+++ b/crates/daemon/src/half/state.rs
@@ -140,7 +140,9 @@
     /// the settings.
     pub fn apply_limits(&self) {
         let Some(own) = self.settings() else { return };
-        let reported = self.with_reports(|reports| reports.open()?.slots).flatten();
+        let reported = self
+            .with_reports(|reports| reports.ready()?.slots)
+            .flatten();
         self.admit(AdmissionEvent::SetLimits(AdmissionLimits {
             slots: reported.unwrap_or(own.slots).max(1),
             hold_limit: own.hold_limit,
@@ -162,7 +164,7 @@
     /// name.
     #[allow(clippy::option_option)]
     pub(super) fn instance_for_call(&self) -> Option<Option<String>> {
-        let open = self.with_reports(|reports| reports.open().map(|open| open.instance.clone()));
+        let open = self.with_reports(|reports| reports.ready().map(|open| open.instance.clone()));
         match open {
             None => Some(None),
             Some(None) => None,
@@ -212,7 +214,7 @@
     /// Whether an incarnation that answered is the one in place; one without a name is.
     pub(super) fn is_in_place(&self, instance: Option<&str>) -> bool {
         let in_place = self.with_reports(|reports| {
-            let in_place = reports.in_place().map(|target| target.instance.as_str());
+            let in_place = reports.current().map(|target| target.instance.as_str());
             instance.is_none() || instance == in_place
         });
         in_place.unwrap_or(true)
@@ -224,16 +226,16 @@
         change: impl FnOnce(&mut TargetReports) -> ReportEffect,
     ) -> ReportEffect {
         let changed = self.with_reports(|reports| {
-            let before = reports.in_place().cloned();
+            let before = reports.current().cloned();
             let effect = change(reports);
-            let pair = before.as_ref().zip(reports.in_place());
+            let pair = before.as_ref().zip(reports.current());
             (
                 effect,
                 pair.is_some_and(|(before, now)| now.is_other_than(before)),
             )
         });
         let Some((effect, is_other)) = changed else {
-            return ReportEffect::Nothing;
+            return ReportEffect::Ignored;
         };
         if is_other {
             self.admit(AdmissionEvent::Replaced);
--- a/crates/daemon/src/half/suspects.rs
+++ b/crates/daemon/src/half/suspects.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lynxcleat_policy::{Micros, Refusal, RefusalReason, Standing};
+use lynxcleat_policy::{Micros, QuarantineStatus, Refusal, RefusalReason};
 use tokio::sync::{Mutex, MutexGuard};
 
 use crate::quarantine::Request;
@@ -65,11 +65,11 @@
 /// A request that is quarantined.
 fn is_suspect(request: &Request<'_>) -> Result<bool, Refusal> {
     match request.standing() {
-        Standing::Clear => Ok(false),
-        Standing::Suspect => Ok(true),
-        Standing::Quarantined { left_us } => Err(Refusal {
+        QuarantineStatus::Clear => Ok(false),
+        QuarantineStatus::Suspect => Ok(true),
+        QuarantineStatus::Quarantined { remaining_us } => Err(Refusal {
             reason: RefusalReason::Quarantined,
-            retry_after_us: left_us,
+            retry_after_us: remaining_us,
         }),
     }
 }
--- a/crates/daemon/src/half/target.rs
+++ b/crates/daemon/src/half/target.rs
@@ -40,7 +40,7 @@
 impl Half {
     /// Service of the target: the one it reports, or the configured one.
     pub fn service(&self, core: &Core) -> String {
-        let reported = self.with_reports(|reports| reports.in_place()?.service.clone());
+        let reported = self.with_reports(|reports| reports.current()?.service.clone());
         let configured = || core.config.service.clone();
         reported.flatten().unwrap_or_else(configured)
     }
@@ -107,17 +107,17 @@
             left_us,
             sequence: report.sequence.unwrap_or(u64::MAX),
         };
-        let is_first = self.with_reports(|reports| reports.in_place().is_none()) == Some(true);
-        let mut effect = self.change_reports(|reports| reports.take(report));
+        let is_first = self.with_reports(|reports| reports.current().is_none()) == Some(true);
+        let mut effect = self.change_reports(|reports| reports.apply(report));
         if is_first {
             self.admit(AdmissionEvent::FirstReport(first));
         }
-        if effect == ReportEffect::Rival {
+        if effect == ReportEffect::Conflict {
             let at_address = self.ask_instance(core).await;
             log::info!(reported = reported.as_str(), at_address:? = at_address; "another target reported");
-            effect = self.change_reports(|reports| reports.settle_rival(at_address.as_deref()));
+            effect = self.change_reports(|reports| reports.resolve_conflict(at_address.as_deref()));
         }
-        if effect != ReportEffect::Nothing && self.is_in_place(Some(&reported)) {
+        if effect != ReportEffect::Ignored && self.is_in_place(Some(&reported)) {
             self.learn_cold(left_us);
         }
         effect
@@ -133,10 +133,10 @@
     /// not report first.
     pub async fn confirm(&self, core: &Core, earlier: &EarlierTarget) -> ReportEffect {
         let Some(told) = self.ask_itself(core).await else {
-            return ReportEffect::Nothing;
+            return ReportEffect::Ignored;
         };
         if !told.well || told.instance.as_ref() != Some(&earlier.instance) {
-            return ReportEffect::Nothing;
+            return ReportEffect::Ignored;
         }
         let report = TargetReport {
             instance: earlier.instance.clone(),
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -15,8 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use lynxcleat_policy::{
-    Changed, Fingerprint, Listed, Micros, Quarantine, QuarantineLimits, RequestFingerprints,
-    SampleRates, Sampler, Standing, SuspectNews, TargetExitId,
+    Fingerprint, Micros, Quarantine, QuarantineChange, QuarantineLimits, QuarantineStatus,
+    RequestFingerprints, SampleRates, Sampler, SuspectSummary, SuspectUpdate, TargetExitId,
 };
 use lynxcleat_settings::Effective;
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
 /// News on their way to other daemons.
 pub struct Outgoing {
     /// The news.
-    pub news: Vec<SuspectNews>,
+    pub news: Vec<SuspectUpdate>,
     /// Where they became known.
     pub origin: Origin,
 }
@@ -130,18 +130,18 @@
     }
 
     /// What is to be done with a request.
-    pub fn standing(&self, prints: RequestFingerprints) -> Standing {
-        lock(&self.known).standing(self.clock.now(), prints)
+    pub fn standing(&self, prints: RequestFingerprints) -> QuarantineStatus {
+        lock(&self.known).status(self.clock.now(), prints)
     }
 
     /// What is known of a request, for the half that it is sent to.
-    pub fn news_of(&self, prints: RequestFingerprints) -> Vec<SuspectNews> {
-        lock(&self.known).news_of(self.clock.now(), prints)
+    pub fn news_of(&self, prints: RequestFingerprints) -> Vec<SuspectUpdate> {
+        lock(&self.known).request_updates(self.clock.now(), prints)
     }
 
     /// Every suspect, the quarantined ones first.
     pub fn listed(&self) -> Vec<SuspectState> {
-        let listed = lock(&self.known).listed(self.clock.now());
+        let listed = lock(&self.known).suspects(self.clock.now());
         listed.into_iter().map(state).collect()
     }
 
@@ -154,7 +154,7 @@
         sent_at: Micros,
     ) {
         let now = self.clock.now();
-        let changed = lock(&self.known).ended(now, end, prints, sent_at);
+        let changed = lock(&self.known).record_exit(now, end, prints, sent_at);
         if !changed.is_empty() && lock(&self.lines).sample(now, false) {
             let request = prints.full;
             log::info!(call, end = end.0, request:%, content:% = prints.content; "request suspect");
@@ -165,7 +165,7 @@
     /// A target ran a call to its end and answered it.
     pub fn survived(&self, call: &str, prints: RequestFingerprints) {
         let now = self.clock.now();
-        let changed = lock(&self.known).survived(now, prints);
+        let changed = lock(&self.known).record_served(now, prints);
         if !changed.is_empty() && lock(&self.lines).sample(now, false) {
             log::info!(call, request:% = prints.full; "request cleared");
         }
@@ -182,14 +182,14 @@
     }
 
     /// Takes what another daemon told on a link, or what a row of the store says.
-    pub fn take(&self, told: &[SuspectNews], origin: Origin) {
-        let changed = lock(&self.known).take(self.clock.now(), told);
+    pub fn take(&self, told: &[SuspectUpdate], origin: Origin) {
+        let changed = lock(&self.known).merge(self.clock.now(), told);
         self.apply_changed(changed, origin);
     }
 
     /// All that is known, for a daemon that may know nothing of it.
-    pub fn all(&self) -> Vec<SuspectNews> {
-        lock(&self.known).all(self.clock.now())
+    pub fn all(&self) -> Vec<SuspectUpdate> {
+        lock(&self.known).snapshot(self.clock.now())
     }
 
     /// Waits for news that other daemons are to hear.
@@ -202,7 +202,7 @@
     }
 
     /// Logs what changed, stores it where it was found out here, and passes it on.
-    fn apply_changed(&self, changed: Changed, origin: Origin) {
+    fn apply_changed(&self, changed: QuarantineChange, origin: Origin) {
         if changed.is_empty() {
             return;
         }
@@ -220,14 +220,14 @@
         }
         let decides = !changed.quarantined.is_empty() || !changed.released.is_empty();
         if decides || lock(&self.rates).sample(self.clock.now(), false) {
-            let news = changed.news;
+            let news = changed.updates;
             let _ = self.outgoing.send(Outgoing { news, origin });
         }
     }
 
     fn log_quarantined(&self, print: Fingerprint, origin: Origin) {
-        let listed = lock(&self.known).listed(self.clock.now());
-        let Some(one) = listed.into_iter().find(|one| one.print == print) else {
+        let listed = lock(&self.known).suspects(self.clock.now());
+        let Some(one) = listed.into_iter().find(|one| one.fingerprint == print) else {
             return;
         };
         let state = state(one);
@@ -244,17 +244,17 @@
     /// Forgets what is old, and shows whether anything is left.
     pub fn forget_old(&self) {
         let mut known = lock(&self.known);
-        known.forget_old(self.clock.now());
+        known.remove_expired(self.clock.now());
         self.any.store(!known.is_empty(), Ordering::Relaxed);
     }
 }
 
-fn state(listed: Listed) -> SuspectState {
+fn state(listed: SuspectSummary) -> SuspectState {
     SuspectState {
-        request: listed.print.to_string(),
+        request: listed.fingerprint.to_string(),
         any_caller: listed.senders > 0,
-        ends: listed.ends,
+        ends: listed.consecutive_exits,
         age_ms: listed.age_us / US_PER_MS,
-        left_ms: listed.left_us.map(|left_us| left_us / US_PER_MS),
+        left_ms: listed.remaining_us.map(|left_us| left_us / US_PER_MS),
     }
 }
--- a/crates/daemon/src/quarantine/request.rs
+++ b/crates/daemon/src/quarantine/request.rs
@@ -3,7 +3,9 @@
 use std::sync::OnceLock;
 
 use hyper::header::HeaderName;
-use lynxcleat_policy::{Micros, RequestFingerprints, Standing, SuspectNews, TargetExitId};
+use lynxcleat_policy::{
+    Micros, QuarantineStatus, RequestFingerprints, SuspectUpdate, TargetExitId,
+};
 use lynxcleat_wire::{RequestHead, request_prints};
 
 use super::QuarantineState;
@@ -50,16 +52,16 @@
     }
 
     /// What is to be done with it.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> QuarantineStatus {
         match self.quarantine.any() {
             true => self.quarantine.standing(self.prints()),
-            false => Standing::Clear,
+            false => QuarantineStatus::Clear,
         }
     }
 
     /// What is known against it, where it is suspect, for the half that it is sent to.
-    pub fn news(&self) -> Option<Vec<SuspectNews>> {
-        let is_suspect = self.standing() == Standing::Suspect;
+    pub fn news(&self) -> Option<Vec<SuspectUpdate>> {
+        let is_suspect = self.standing() == QuarantineStatus::Suspect;
         is_suspect.then(|| self.quarantine.news_of(self.prints()))
     }
 
--- a/crates/daemon/src/quarantine/spread.rs
+++ b/crates/daemon/src/quarantine/spread.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lynxcleat_policy::SuspectNews;
+use lynxcleat_policy::SuspectUpdate;
 use lynxcleat_wire::Frame;
 
 use crate::core::Core;
@@ -27,7 +27,7 @@
 }
 
 /// Takes what another daemon knows.
-pub fn take_news(core: &Core, link: &Link, news: &[SuspectNews]) {
+pub fn take_news(core: &Core, link: &Link, news: &[SuspectUpdate]) {
     core.quarantine.take(news, Origin::Link(link.id));
 }
 
--- a/crates/daemon/src/quarantine/stored.rs
+++ b/crates/daemon/src/quarantine/stored.rs
@@ -1,7 +1,7 @@
 //! What is quarantined, as it is stored: a deployment that loses all its daemons at once would
 //! have as many targets end again before it knew.
 
-use lynxcleat_policy::{Fingerprint, SeenEnd, SuspectNews};
+use lynxcleat_policy::{Fingerprint, ObservedExit, SuspectUpdate};
 use serde::{Deserialize, Serialize};
 
 use super::{Origin, QuarantineState};
@@ -17,7 +17,7 @@
     /// Its fingerprint, in hexadecimal.
     pub request: String,
     /// Ends of targets under it.
-    pub ends: Vec<SeenEnd>,
+    pub ends: Vec<ObservedExit>,
     /// When the last of them was, in milliseconds since 1970 by the clock of whoever stored it.
     pub at_ms: u64,
 }
@@ -47,10 +47,10 @@
         if !known.is_quarantined(now, print) {
             return None;
         }
-        let news = known.news_of_print(now, print)?;
+        let news = known.suspect_update(now, print)?;
         Some(StoredSuspect {
             request: print.to_string(),
-            ends: news.ends,
+            ends: news.exits,
             at_ms: self.clock.wall_ms().saturating_sub(news.age_ms),
         })
     }
@@ -64,10 +64,10 @@
                 return;
             }
         };
-        let news = SuspectNews {
-            ends: stored.ends.clone(),
+        let news = SuspectUpdate {
+            exits: stored.ends.clone(),
             age_ms: self.clock.wall_ms().saturating_sub(stored.at_ms),
-            ..SuspectNews::of(print)
+            ..SuspectUpdate::new(print)
         };
         self.take(&[news], Origin::Store);
     }
--- a/crates/daemon/src/rollout/own.rs
+++ b/crates/daemon/src/rollout/own.rs
@@ -15,7 +15,7 @@
 pub(super) fn own_version(core: &Core) -> String {
     let version = core
         .half
-        .with_reports(|reports| reports.in_place()?.version.clone());
+        .with_reports(|reports| reports.current()?.version.clone());
     version.flatten().unwrap_or_default()
 }
 
--- a/crates/daemon/src/route/run.rs
+++ b/crates/daemon/src/route/run.rs
@@ -10,7 +10,7 @@
 use lynxcleat_once::Operation;
 use lynxcleat_policy::{
     Action, AnswerStatus, AttemptId, CallId, CallKind, Event, Homes, Micros, NotRunReason,
-    RequestFingerprints, Standing, TargetExitId, TargetId, UnknownReason, Verdict,
+    QuarantineStatus, RequestFingerprints, TargetExitId, TargetId, UnknownReason, Verdict,
 };
 use lynxcleat_wire::{Answer, CallingOrganisation, RequestHead};
 use serde_bytes::ByteBuf;
@@ -241,8 +241,8 @@
     /// For how much longer the request is offered to no target.
     fn quarantined(&self) -> Option<Micros> {
         match self.request()?.standing() {
-            Standing::Quarantined { left_us } => Some(left_us),
-            Standing::Clear | Standing::Suspect => None,
+            QuarantineStatus::Quarantined { remaining_us } => Some(remaining_us),
+            QuarantineStatus::Clear | QuarantineStatus::Suspect => None,
         }
     }
 
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use lynxcleat_daemon::SuspectState;
-use lynxcleat_policy::{CallKind, Homes, SeenEnd, SuspectNews, TargetExitId};
+use lynxcleat_policy::{CallKind, Homes, ObservedExit, SuspectUpdate, TargetExitId};
 use lynxcleat_standin::{TargetFaults, wait_until};
 use lynxcleat_store::keys;
 use lynxcleat_wire::{CallFrame, Frame, request_prints};
@@ -344,16 +344,16 @@
 }
 
 /// What a router tells of a call under which one target ended.
-fn suspect(call: &CallFrame) -> SuspectNews {
+fn suspect(call: &CallFrame) -> SuspectUpdate {
     let is_ours = |name: &str| name.starts_with("lynxcleat-");
     let prints = request_prints(&call.head, &call.body, None, None, is_ours);
-    SuspectNews {
-        ends: vec![SeenEnd {
-            end: TargetExitId(call.attempt.0),
+    SuspectUpdate {
+        exits: vec![ObservedExit {
+            exit: TargetExitId(call.attempt.0),
             rank: 1,
             sender: None,
         }],
-        ..SuspectNews::of(prints.full)
+        ..SuspectUpdate::new(prints.full)
     }
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -75,7 +75,8 @@
 pub use pipeline::{CallNumber, Pipeline, PipelineLimits, ReadyResponse, RequestInfo};
 pub use policy_name::{Policy, UnknownPolicy};
 pub use quarantine::{
-    Changed, Listed, Quarantine, QuarantineLimits, SeenEnd, Standing, SuspectNews,
+    ObservedExit, Quarantine, QuarantineChange, QuarantineLimits, QuarantineStatus, SuspectSummary,
+    SuspectUpdate,
 };
 pub use quota::{
     BucketOwners, LeaseStep, QuotaBucket, QuotaGrant, QuotaLease, QuotaLimit, TokenRequest,
@@ -83,7 +84,7 @@
 };
 pub use reconnect::{ReconnectBackoff, ReconnectEvent};
 pub use region_budget::RegionBudget;
-pub use report::{InPlace, ReportEffect, ReportedState, TargetReport, TargetReports};
+pub use report::{CurrentTarget, ReportEffect, ReportedState, TargetReport, TargetReports};
 pub use retry::{RetryAllowance, RetryBound, RetryBudget, RetryParams, RetryWindow};
 pub use rollout::{
     AdmittedCalls, CANARY_SHARE_FACTOR, CallCounts, CanaryAnalysis, Cause, Exposure, Fault,
--- a/crates/policy/src/quarantine/entry.rs
+++ b/crates/policy/src/quarantine/entry.rs
@@ -1,63 +1,63 @@
-//! What is known against one fingerprint.
+//! State of one suspect fingerprint.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
 use crate::ids::{Micros, TargetExitId};
 
-/// Ends remembered of one suspect, those with the highest rank: as many as the highest limit
-/// and the most chances that are allowed for.
-const ENDS: usize = 16;
-/// Ends remembered that count no more, of either kind, so that a daemon that was cut off does
-/// not bring them back.
-const EXCUSED: usize = 32;
-/// Chances that are allowed for at most: by then a request that is served now and then would
-/// have to meet some ten ends in a row.
-const CHANCES: usize = 5;
+/// Maximum number of exits stored per suspect; those with the highest rank are kept. It covers
+/// the highest configurable `crash_limit` plus [`MAX_ALLOWANCE`].
+const MAX_EXITS: usize = 16;
+/// Maximum number of cleared exits and of lifted exits stored per suspect. They are stored so
+/// that a daemon that was disconnected does not add the exits again.
+const MAX_CLEARED: usize = 32;
+/// Maximum of [`Entry::coincidence_allowance`]. With this allowance, a request that is served
+/// now and then would have to coincide with about ten consecutive exits to be quarantined.
+const MAX_ALLOWANCE: usize = 5;
 const US_PER_MS: Micros = 1_000;
 
-/// One end of a target under a request.
+/// Exit of a target while a request was in flight to it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SeenEnd {
-    /// The end.
+pub struct ObservedExit {
+    /// Identifier of the exit.
     #[serde(rename = "e")]
-    pub end: TargetExitId,
-    /// Its place in a row of ends: 1, or one more than the rank of an end that was known
-    /// where the request was sent when it was sent.
+    pub exit: TargetExitId,
+    /// Position in a run of consecutive exits: one more than the highest rank that the sending
+    /// daemon knew when it sent the request, and 1 if it knew none.
     #[serde(rename = "r")]
     pub rank: u32,
-    /// Which sender's request it was, for a content that several may send.
+    /// Sender of the request; set only for content fingerprints, which several senders can share.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub sender: Option<u64>,
 }
 
-/// What a daemon tells of one suspect.
+/// State of one suspect, as exchanged between daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectNews {
-    /// Its fingerprint.
+pub struct SuspectUpdate {
+    /// Fingerprint of the suspect.
     #[serde(rename = "f")]
-    pub print: Fingerprint,
-    /// Ends of targets under it.
+    pub fingerprint: Fingerprint,
+    /// Exits attributed to it.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<SeenEnd>,
-    /// Ends that count no more, since a target served it afterwards.
+    pub exits: Vec<ObservedExit>,
+    /// Exits that no longer count because a target served the request afterwards.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub survived: Vec<TargetExitId>,
-    /// Ends that count no more, since an operator says so.
+    pub cleared: Vec<TargetExitId>,
+    /// Exits that no longer count because an operator lifted the quarantine.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub lifted: Vec<TargetExitId>,
-    /// Time since the last end, in milliseconds.
+    /// Time since the last exit, in milliseconds.
     #[serde(rename = "a", default)]
     pub age_ms: u64,
 }
 
-impl SuspectNews {
-    /// Nothing yet of a fingerprint.
-    pub fn of(print: Fingerprint) -> Self {
-        SuspectNews {
-            print,
-            ends: Vec::new(),
-            survived: Vec::new(),
+impl SuspectUpdate {
+    /// Creates an update without exits.
+    pub fn new(fingerprint: Fingerprint) -> Self {
+        SuspectUpdate {
+            fingerprint,
+            exits: Vec::new(),
+            cleared: Vec::new(),
             lifted: Vec::new(),
             age_ms: 0,
         }
@@ -65,161 +65,165 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct KnownEnd {
-    seen: SeenEnd,
+struct KnownExit {
+    observed: ObservedExit,
     known_at: Micros,
 }
 
-/// What is known against one fingerprint.
+/// State of one suspect fingerprint.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    /// Ends that count.
-    ends: Vec<KnownEnd>,
-    /// Ends that count no more, oldest first: a target served the request afterwards.
-    survived: Vec<TargetExitId>,
-    /// The same, since an operator said so.
+    /// Exits that count.
+    exits: Vec<KnownExit>,
+    /// Exits that no longer count because a target served the request afterwards, oldest first.
+    cleared: Vec<TargetExitId>,
+    /// Exits that no longer count because an operator lifted the quarantine, oldest first.
     lifted: Vec<TargetExitId>,
-    /// When the last end was, or since when there is none.
-    last_at: Micros,
-    /// Age of the last end when the daemon's clock began, where it is older than that.
-    before_us: Micros,
+    /// Time of the last exit; if there is none, the age in the first update.
+    last_exit_at: Micros,
+    /// Part of the age that lies before the origin of the daemon's clock.
+    age_before_origin_us: Micros,
 }
 
 impl Entry {
-    /// Nothing yet, of the age that is told: what ended long ago is not remembered anew by
-    /// each daemon that hears of it.
-    pub(super) fn new(now: Micros, told: &SuspectNews) -> Self {
+    /// Creates an entry without exits, of the age in the update. If it started at age zero, each
+    /// daemon that receives an old entry would store it for the full period again.
+    pub(super) fn new(now: Micros, update: &SuspectUpdate) -> Self {
         let mut entry = Entry {
-            ends: Vec::new(),
-            survived: Vec::new(),
+            exits: Vec::new(),
+            cleared: Vec::new(),
             lifted: Vec::new(),
-            last_at: now,
-            before_us: 0,
+            last_exit_at: now,
+            age_before_origin_us: 0,
         };
-        entry.set_age(now, told.age_ms.saturating_mul(US_PER_MS));
+        entry.set_age(now, update.age_ms.saturating_mul(US_PER_MS));
         entry
     }
 
-    /// Whether an end counts.
+    /// Whether any exit counts.
     pub(super) fn is_suspect(&self) -> bool {
-        !self.ends.is_empty()
+        !self.exits.is_empty()
     }
 
-    /// The longest row of ends. Its members may have been cleared, so it is no longer than
-    /// there are ends that count.
-    pub(super) fn row(&self) -> u32 {
-        let highest = self.ends.iter().map(|known| known.seen.rank).max();
-        highest.unwrap_or(0).min(self.live_ends().len() as u32)
+    /// Length of the longest run of consecutive exits, capped by the number of exits that count,
+    /// because exits within the run may have been cleared.
+    pub(super) fn consecutive_exits(&self) -> u32 {
+        let highest = self.exits.iter().map(|known| known.observed.rank).max();
+        highest.unwrap_or(0).min(self.counted_exits().len() as u32)
     }
 
-    /// Rank of an end under a request that was sent at some time.
-    pub(super) fn rank_after(&self, sent_at: Micros) -> u32 {
-        let before = self.ends.iter().filter(|known| known.known_at <= sent_at);
-        let highest = before.map(|known| known.seen.rank).max().unwrap_or(0);
-        highest.min(self.row()) + 1
+    /// Rank of an exit during a request that was sent at the given time.
+    pub(super) fn next_rank(&self, sent_at: Micros) -> u32 {
+        let before = self.exits.iter().filter(|known| known.known_at <= sent_at);
+        let highest = before.map(|known| known.observed.rank).max().unwrap_or(0);
+        highest.min(self.consecutive_exits()) + 1
     }
 
-    /// Ends in a row that chance has to be allowed for beyond the limit: a request that is
-    /// served now and then meets ends that it does not bring about.
-    pub(super) fn chances(&self) -> u32 {
-        self.survived.len().min(CHANCES) as u32
+    /// Consecutive exits required beyond the limit: a request that is served now and then is also
+    /// in flight during exits that it does not cause.
+    pub(super) fn coincidence_allowance(&self) -> u32 {
+        self.cleared.len().min(MAX_ALLOWANCE) as u32
     }
 
-    /// Ends that count, each once.
-    pub(super) fn live_ends(&self) -> Vec<TargetExitId> {
-        let mut ends: Vec<TargetExitId> = self.ends.iter().map(|known| known.seen.end).collect();
-        ends.sort_unstable();
-        ends.dedup();
-        ends
+    /// Exits that count, without duplicates.
+    pub(super) fn counted_exits(&self) -> Vec<TargetExitId> {
+        let exits = self.exits.iter().map(|known| known.observed.exit);
+        let mut exits: Vec<TargetExitId> = exits.collect();
+        exits.sort_unstable();
+        exits.dedup();
+        exits
     }
 
-    /// Senders under whose requests targets ended; 0 where it is one sender's request.
-    pub(super) fn senders(&self) -> usize {
-        let senders = self.ends.iter().filter_map(|known| known.seen.sender);
+    /// Number of distinct senders whose requests were in flight during the exits; 0 for the
+    /// fingerprint of a single sender's request.
+    pub(super) fn sender_count(&self) -> usize {
+        let senders = self.exits.iter().filter_map(|known| known.observed.sender);
         let mut senders: Vec<u64> = senders.collect();
         senders.sort_unstable();
         senders.dedup();
         senders.len()
     }
 
-    pub(super) fn last_at(&self) -> Micros {
-        self.last_at
+    pub(super) fn last_exit_at(&self) -> Micros {
+        self.last_exit_at
     }
 
-    /// Time since the last end.
+    /// Time since the last exit.
     pub(super) fn age_us(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.last_at) + self.before_us
+        now.saturating_sub(self.last_exit_at) + self.age_before_origin_us
     }
 
-    pub(super) fn news(&self, now: Micros, print: Fingerprint) -> SuspectNews {
-        SuspectNews {
-            print,
-            ends: self.ends.iter().map(|known| known.seen).collect(),
-            survived: self.survived.clone(),
+    pub(super) fn to_update(&self, now: Micros, fingerprint: Fingerprint) -> SuspectUpdate {
+        SuspectUpdate {
+            fingerprint,
+            exits: self.exits.iter().map(|known| known.observed).collect(),
+            cleared: self.cleared.clone(),
             lifted: self.lifted.clone(),
             age_ms: self.age_us(now) / US_PER_MS,
         }
     }
 
-    /// Takes what is told. Returns whether something of it was not known.
-    pub(super) fn take(&mut self, now: Micros, news: &SuspectNews) -> bool {
-        let mut is_news = false;
-        for end in &news.survived {
-            is_news |= excuse(&mut self.survived, *end);
+    /// Merges an update. Returns whether it changed the entry.
+    pub(super) fn merge(&mut self, now: Micros, update: &SuspectUpdate) -> bool {
+        let mut is_changed = false;
+        for exit in &update.cleared {
+            is_changed |= insert_bounded(&mut self.cleared, *exit);
         }
-        for end in &news.lifted {
-            is_news |= excuse(&mut self.lifted, *end);
+        for exit in &update.lifted {
+            is_changed |= insert_bounded(&mut self.lifted, *exit);
         }
-        let (survived, lifted) = (&self.survived, &self.lifted);
-        self.ends.retain(|known| {
-            let end = known.seen.end;
-            !survived.contains(&end) && !lifted.contains(&end)
+        let (cleared, lifted) = (&self.cleared, &self.lifted);
+        self.exits.retain(|known| {
+            let exit = known.observed.exit;
+            !cleared.contains(&exit) && !lifted.contains(&exit)
         });
-        let known_before = self.is_suspect().then(|| self.age_us(now));
-        let mut has_end = false;
-        for seen in &news.ends {
-            has_end |= self.add(now, *seen);
+        let age_before = self.is_suspect().then(|| self.age_us(now));
+        let mut is_exit_added = false;
+        for observed in &update.exits {
+            is_exit_added |= self.add(now, *observed);
         }
-        if has_end {
-            let told_us = news.age_ms.saturating_mul(US_PER_MS);
-            self.set_age(now, known_before.unwrap_or(told_us).min(told_us));
+        if is_exit_added {
+            let update_age = update.age_ms.saturating_mul(US_PER_MS);
+            self.set_age(now, age_before.unwrap_or(update_age).min(update_age));
         }
-        is_news || has_end
+        is_changed || is_exit_added
     }
 
-    fn add(&mut self, now: Micros, seen: SeenEnd) -> bool {
-        let is_known = self.ends.iter().any(|known| known.seen == seen);
-        let is_excused = self.survived.contains(&seen.end) || self.lifted.contains(&seen.end);
-        if is_known || is_excused {
+    fn add(&mut self, now: Micros, observed: ObservedExit) -> bool {
+        let is_known = self.exits.iter().any(|known| known.observed == observed);
+        let is_discounted =
+            self.cleared.contains(&observed.exit) || self.lifted.contains(&observed.exit);
+        if is_known || is_discounted {
             return false;
         }
-        if self.ends.len() >= ENDS {
-            let ranks = self.ends.iter().enumerate();
-            let lowest = ranks.min_by_key(|(_, known)| known.seen.rank);
-            match lowest.map(|(at, known)| (at, known.seen.rank)) {
-                Some((at, rank)) if rank < seen.rank => self.ends.remove(at),
+        if self.exits.len() >= MAX_EXITS {
+            let ranks = self.exits.iter().enumerate();
+            let lowest = ranks.min_by_key(|(_, known)| known.observed.rank);
+            match lowest.map(|(at, known)| (at, known.observed.rank)) {
+                Some((at, rank)) if rank < observed.rank => self.exits.remove(at),
                 _ => return false,
             };
         }
         let known_at = now;
-        self.ends.push(KnownEnd { seen, known_at });
+        self.exits.push(KnownExit { observed, known_at });
         true
     }
 
     fn set_age(&mut self, now: Micros, age_us: Micros) {
-        self.last_at = now.saturating_sub(age_us);
-        self.before_us = age_us.saturating_sub(now);
+        self.last_exit_at = now.saturating_sub(age_us);
+        self.age_before_origin_us = age_us.saturating_sub(now);
     }
 }
 
-/// Adds an end to those that count no more. Returns whether that is news.
-fn excuse(excused: &mut Vec<TargetExitId>, end: TargetExitId) -> bool {
-    if excused.contains(&end) {
+/// Adds an exit to a list of at most [`MAX_CLEARED`], dropping the oldest one. Returns whether it
+/// was absent.
+fn insert_bounded(exits: &mut Vec<TargetExitId>, exit: TargetExitId) -> bool {
+    if exits.contains(&exit) {
         return false;
     }
-    excused.push(end);
-    if excused.len() > EXCUSED {
-        excused.remove(0);
+    exits.push(exit);
+    if exits.len() > MAX_CLEARED {
+        exits.remove(0);
     }
     true
 }
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -1,19 +1,19 @@
-//! Requests under which targets end, known by what they hold.
+//! Quarantine of requests during which targets repeatedly exit, identified by fingerprint.
 //!
-//! A request that ends each target that runs it comes again, under a new name and at any
-//! daemon. All requests that a target had in hand when it ended are suspect; those that only
-//! shared the target with a bad one are served elsewhere, which clears them. One under which
-//! `crash_limit` targets ended in a row, and that none survived, is quarantined: no daemon
-//! offers it to a target for a while.
+//! A request that makes every target that runs it exit is retried under new identifiers and
+//! through any daemon. All requests that were in flight to a target when it exited become
+//! suspect; those that only shared the target with the faulty one are served elsewhere, which
+//! clears them. A request during which `crash_limit` targets exited consecutively, without any
+//! target serving it, is quarantined: no daemon offers it to a target for a while.
 //!
-//! An end follows another in the row only if it was known where the request was sent before it
-//! was sent. Targets that fall together, with a rack or a zone, end at the same time, and a
-//! request that many of them had in hand is no more suspect than any other. A popular request
-//! is in hand at many ends that it does not bring about: each that it survived adds one to the
-//! row that is needed.
+//! An exit extends the run of an earlier one only if the sending daemon knew the earlier one
+//! before it sent the request. Targets that fail together, such as those of a rack or zone, exit
+//! at the same time, and a request that was in flight to many of them is no more suspect than any
+//! other. A frequent request is in flight during many exits that it does not cause, so each exit
+//! cleared by a successful response adds one to the required number.
 //!
-//! What is known merges in any order and any number of times: ends and cleared ends are sets,
-//! and what one daemon tells another is added to them.
+//! The state is a conflict-free replicated data type: exits and cleared exits are sets, merged by
+//! union, so that updates may arrive in any order and more than once.
 
 mod entry;
 
@@ -24,73 +24,74 @@
 use crate::ids::{Micros, TargetExitId};
 
 use entry::Entry;
-pub use entry::{SeenEnd, SuspectNews};
+pub use entry::{ObservedExit, SuspectUpdate};
 
-/// Suspects remembered: some hundred calls are lost when a few targets end at once, and each
-/// is known by two fingerprints. They take some 60 KiB.
-const ENTRIES: usize = 256;
-/// Senders whose requests of one content have to end targets before the content is refused
-/// whoever sends it.
-const SENDERS: usize = 2;
+/// Maximum number of stored suspects, about 60 KiB. When a few targets exit at once, about a
+/// hundred calls are lost, each with two fingerprints.
+const MAX_ENTRIES: usize = 256;
+/// Number of senders whose requests of the same content must coincide with exits before the
+/// content is quarantined for all senders.
+const MIN_SENDERS: usize = 2;
 
-/// When a request is quarantined, and for how long.
+/// Conditions and duration of a quarantine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineLimits {
-    /// Targets that may end in a row under one request; 0 for any number.
+    /// Number of consecutive target exits at which a request is quarantined; 0 disables the
+    /// quarantine.
     pub crash_limit: u32,
-    /// Time for which it is refused then, in microseconds. Each further end doubles it.
+    /// Duration of the first quarantine, in microseconds. Each further exit doubles it.
     pub quarantine_us: Micros,
 }
 
-/// What is to be done with a request.
+/// Whether and how a request may be offered to targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
-    /// Nothing speaks against it.
+pub enum QuarantineStatus {
+    /// No exit counts against the request.
     Clear,
-    /// Targets ended while they had it in hand: it does not run beside another suspect, so
-    /// that the next end tells which of them it was.
+    /// Targets exited while the request was in flight. It does not run concurrently with another
+    /// suspect, so that the next exit can be attributed to one of them.
     Suspect,
-    /// It is offered to no target.
+    /// The request is not offered to any target.
     Quarantined {
-        /// For how much longer, in microseconds.
-        left_us: Micros,
+        /// Remaining time, in microseconds.
+        remaining_us: Micros,
     },
 }
 
-/// What an event changed.
+/// Result of an event.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Changed {
-    /// What other daemons are to hear.
-    pub news: Vec<SuspectNews>,
-    /// What is quarantined since this event.
+pub struct QuarantineChange {
+    /// Updates to send to other daemons.
+    pub updates: Vec<SuspectUpdate>,
+    /// Fingerprints that this event quarantined.
     pub quarantined: Vec<Fingerprint>,
-    /// What is quarantined no more since this event.
+    /// Fingerprints whose quarantine this event ended.
     pub released: Vec<Fingerprint>,
 }
 
-impl Changed {
-    /// Whether it changed nothing.
+impl QuarantineChange {
+    /// Whether the event changed nothing.
     pub fn is_empty(&self) -> bool {
-        self.news.is_empty()
+        self.updates.is_empty()
     }
 }
 
-/// A suspect as operators see it.
+/// Summary of a suspect for operators.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Listed {
-    /// Its fingerprint.
-    pub print: Fingerprint,
-    /// Targets that ended under it in a row.
-    pub ends: u32,
-    /// Senders under whose requests they ended; 0 for one sender's request.
+pub struct SuspectSummary {
+    /// Fingerprint of the suspect.
+    pub fingerprint: Fingerprint,
+    /// Number of consecutive target exits.
+    pub consecutive_exits: u32,
+    /// Number of distinct senders; 0 for the fingerprint of a single sender's request.
     pub senders: usize,
-    /// Time since the last of them, in microseconds.
+    /// Time since the last exit, in microseconds.
     pub age_us: Micros,
-    /// For how much longer it is quarantined; nothing where it is not.
-    pub left_us: Option<Micros>,
+    /// Remaining time of its quarantine; `None` if it is not quarantined.
+    pub remaining_us: Option<Micros>,
 }
 
-/// The suspects that a daemon knows.
+/// Suspects known to a daemon.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     limits: QuarantineLimits,
@@ -98,7 +99,7 @@
 }
 
 impl Quarantine {
-    /// No suspects.
+    /// Creates a quarantine without suspects.
     pub fn new(limits: QuarantineLimits) -> Self {
         Quarantine {
             limits,
@@ -106,190 +107,208 @@
         }
     }
 
-    /// Changes the limits; they hold for what is known as well.
+    /// Sets the limits; they also apply to known suspects.
     pub fn set_limits(&mut self, limits: QuarantineLimits) {
         self.limits = limits;
     }
 
-    /// Whether no request is suspect, so that none needs to be looked up.
+    /// Whether there are no entries, so that no request needs to be looked up.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is to be done with a request.
-    pub fn standing(&self, now: Micros, prints: RequestFingerprints) -> Standing {
-        let full = self.entries.get(&prints.full);
-        let content = self.entries.get(&prints.content);
+    /// Status of a request.
+    pub fn status(&self, now: Micros, fingerprints: RequestFingerprints) -> QuarantineStatus {
+        let full = self.entries.get(&fingerprints.full);
+        let content = self.entries.get(&fingerprints.content);
         let known = || [full, content].into_iter().flatten();
-        let left_us = known().filter_map(|entry| self.left_us(now, entry)).max();
-        match left_us {
-            Some(left_us) => Standing::Quarantined { left_us },
-            None if known().any(Entry::is_suspect) => Standing::Suspect,
-            None => Standing::Clear,
+        let remaining = known().filter_map(|entry| self.remaining_us(now, entry));
+        match remaining.max() {
+            Some(remaining_us) => QuarantineStatus::Quarantined { remaining_us },
+            None if known().any(Entry::is_suspect) => QuarantineStatus::Suspect,
+            None => QuarantineStatus::Clear,
         }
     }
 
-    /// A target ended while it had a request in hand that was sent to it at some time.
-    pub fn ended(
+    /// Records that a target exited while a request, sent at the given time, was in flight to it.
+    pub fn record_exit(
         &mut self,
         now: Micros,
-        end: TargetExitId,
-        prints: RequestFingerprints,
+        exit: TargetExitId,
+        fingerprints: RequestFingerprints,
         sent_at: Micros,
-    ) -> Changed {
+    ) -> QuarantineChange {
         if self.limits.crash_limit == 0 {
-            return Changed::default();
+            return QuarantineChange::default();
         }
-        self.forget_old(now);
-        let sender = Some(prints.full.0);
-        let told = [(prints.full, None), (prints.content, sender)];
-        let told = told.map(|(print, sender)| {
-            let known = self.entries.get(&print);
-            let rank = known.map_or(1, |entry| entry.rank_after(sent_at));
-            SuspectNews {
-                ends: vec![SeenEnd { end, rank, sender }],
-                ..SuspectNews::of(print)
+        self.remove_expired(now);
+        let sender = Some(fingerprints.full.0);
+        let suspects = [(fingerprints.full, None), (fingerprints.content, sender)];
+        let updates = suspects.map(|(fingerprint, sender)| {
+            let known = self.entries.get(&fingerprint);
+            let rank = known.map_or(1, |entry| entry.next_rank(sent_at));
+            SuspectUpdate {
+                exits: vec![ObservedExit { exit, rank, sender }],
+                ..SuspectUpdate::new(fingerprint)
             }
         });
-        self.take(now, &told)
+        self.merge(now, &updates)
     }
 
-    /// A target ran a request to its end. What is known against it counts no more; what is
-    /// known against the same content from other senders stands by itself.
-    pub fn survived(&mut self, now: Micros, prints: RequestFingerprints) -> Changed {
-        let prints = [prints.full, prints.content];
-        let news = prints.iter().filter_map(|print| {
-            let survived = self.live_ends(*print)?;
-            Some(SuspectNews {
-                survived,
-                ..SuspectNews::of(*print)
+    /// Records that a target served a request. This clears the exits of its two fingerprints;
+    /// fingerprints of other senders with the same content are unaffected.
+    pub fn record_served(
+        &mut self,
+        now: Micros,
+        fingerprints: RequestFingerprints,
+    ) -> QuarantineChange {
+        let fingerprints = [fingerprints.full, fingerprints.content];
+        let updates = fingerprints.iter().filter_map(|fingerprint| {
+            let cleared = self.counted_exits(*fingerprint)?;
+            Some(SuspectUpdate {
+                cleared,
+                ..SuspectUpdate::new(*fingerprint)
             })
         });
-        let news: Vec<SuspectNews> = news.collect();
-        self.take(now, &news)
+        let updates: Vec<SuspectUpdate> = updates.collect();
+        self.merge(now, &updates)
     }
 
-    /// An operator says that a request may run again.
-    pub fn lift(&mut self, now: Micros, print: Fingerprint) -> Changed {
-        let lifted = self.live_ends(print).into_iter();
-        let news = lifted.map(|lifted| SuspectNews {
+    /// Lifts the quarantine of a fingerprint on behalf of an operator.
+    pub fn lift(&mut self, now: Micros, fingerprint: Fingerprint) -> QuarantineChange {
+        let lifted = self.counted_exits(fingerprint).into_iter();
+        let updates = lifted.map(|lifted| SuspectUpdate {
             lifted,
-            ..SuspectNews::of(print)
+            ..SuspectUpdate::new(fingerprint)
         });
-        let news: Vec<SuspectNews> = news.collect();
-        self.take(now, &news)
+        let updates: Vec<SuspectUpdate> = updates.collect();
+        self.merge(now, &updates)
     }
 
-    /// Ends that count against a fingerprint; nothing where none does.
-    fn live_ends(&self, print: Fingerprint) -> Option<Vec<TargetExitId>> {
-        let entry = self.entries.get(&print)?;
-        entry.is_suspect().then(|| entry.live_ends())
+    /// Exits that count against a fingerprint; `None` if there are none.
+    fn counted_exits(&self, fingerprint: Fingerprint) -> Option<Vec<TargetExitId>> {
+        let entry = self.entries.get(&fingerprint)?;
+        entry.is_suspect().then(|| entry.counted_exits())
     }
 
-    /// Takes what another daemon knows. What was not known here is returned as news.
-    pub fn take(&mut self, now: Micros, told: &[SuspectNews]) -> Changed {
-        let mut changed = Changed::default();
-        for news in told {
-            let before = self.is_quarantined(now, news.print);
-            let entry = self.entries.entry(news.print);
+    /// Merges updates of another daemon. The change contains those that were new here.
+    pub fn merge(&mut self, now: Micros, updates: &[SuspectUpdate]) -> QuarantineChange {
+        let mut change = QuarantineChange::default();
+        for update in updates {
+            let fingerprint = update.fingerprint;
+            let before = self.is_quarantined(now, fingerprint);
+            let entry = self.entries.entry(fingerprint);
             if !entry
-                .or_insert_with(|| Entry::new(now, news))
-                .take(now, news)
+                .or_insert_with(|| Entry::new(now, update))
+                .merge(now, update)
             {
                 continue;
             }
-            changed.news.push(news.clone());
-            match (before, self.is_quarantined(now, news.print)) {
-                (false, true) => changed.quarantined.push(news.print),
-                (true, false) => changed.released.push(news.print),
+            change.updates.push(update.clone());
+            match (before, self.is_quarantined(now, fingerprint)) {
+                (false, true) => change.quarantined.push(fingerprint),
+                (true, false) => change.released.push(fingerprint),
                 _ => {}
             }
         }
-        self.keep_bound();
-        changed
+        self.enforce_capacity();
+        change
     }
 
-    /// All that is known, for a daemon that may know nothing of it.
-    pub fn all(&self, now: Micros) -> Vec<SuspectNews> {
+    /// State of all entries, for a newly connected daemon.
+    pub fn snapshot(&self, now: Micros) -> Vec<SuspectUpdate> {
         let entries = self.entries.iter();
         entries
-            .map(|(print, entry)| entry.news(now, *print))
+            .map(|(fingerprint, entry)| entry.to_update(now, *fingerprint))
             .collect()
     }
 
-    /// What is known of one request.
-    pub fn news_of(&self, now: Micros, prints: RequestFingerprints) -> Vec<SuspectNews> {
-        let prints = [prints.full, prints.content];
-        let known = |print: &Fingerprint| Some(self.entries.get(print)?.news(now, *print));
-        prints.iter().filter_map(known).collect()
+    /// State of the entries of one request.
+    pub fn request_updates(
+        &self,
+        now: Micros,
+        fingerprints: RequestFingerprints,
+    ) -> Vec<SuspectUpdate> {
+        let fingerprints = [fingerprints.full, fingerprints.content];
+        let update = |fingerprint: &Fingerprint| self.suspect_update(now, *fingerprint);
+        fingerprints.iter().filter_map(update).collect()
     }
 
-    /// What is known of one fingerprint.
-    pub fn news_of_print(&self, now: Micros, print: Fingerprint) -> Option<SuspectNews> {
-        Some(self.entries.get(&print)?.news(now, print))
+    /// State of the entry of one fingerprint.
+    pub fn suspect_update(&self, now: Micros, fingerprint: Fingerprint) -> Option<SuspectUpdate> {
+        Some(self.entries.get(&fingerprint)?.to_update(now, fingerprint))
     }
 
     /// Whether a fingerprint is quarantined.
-    pub fn is_quarantined(&self, now: Micros, print: Fingerprint) -> bool {
-        let entry = self.entries.get(&print);
-        entry.is_some_and(|entry| self.left_us(now, entry).is_some())
+    pub fn is_quarantined(&self, now: Micros, fingerprint: Fingerprint) -> bool {
+        let entry = self.entries.get(&fingerprint);
+        entry.is_some_and(|entry| self.remaining_us(now, entry).is_some())
     }
 
-    /// Every suspect, the quarantined ones first, then by the number of ends.
-    pub fn listed(&self, now: Micros) -> Vec<Listed> {
+    /// Summaries of all suspects: the quarantined ones first, then by the number of exits.
+    pub fn suspects(&self, now: Micros) -> Vec<SuspectSummary> {
         let suspects = self.entries.iter().filter(|(_, entry)| entry.is_suspect());
-        let mut listed: Vec<Listed> = suspects
-            .map(|(print, entry)| Listed {
-                print: *print,
-                ends: entry.row(),
-                senders: entry.senders(),
+        let mut summaries: Vec<SuspectSummary> = suspects
+            .map(|(fingerprint, entry)| SuspectSummary {
+                fingerprint: *fingerprint,
+                consecutive_exits: entry.consecutive_exits(),
+                senders: entry.sender_count(),
                 age_us: entry.age_us(now),
-                left_us: self.left_us(now, entry),
+                remaining_us: self.remaining_us(now, entry),
             })
             .collect();
-        listed.sort_by_key(|one| (one.left_us.is_none(), Reverse(one.ends), one.print));
-        listed
+        summaries.sort_by_key(|summary| {
+            (
+                summary.remaining_us.is_none(),
+                Reverse(summary.consecutive_exits),
+                summary.fingerprint,
+            )
+        });
+        summaries
     }
 
-    /// Forgets what ended too long ago to be told from chance.
-    pub fn forget_old(&mut self, now: Micros) {
+    /// Removes entries whose last exit is too old to be distinguished from coincidence: twice the
+    /// duration of their quarantine.
+    pub fn remove_expired(&mut self, now: Micros) {
         let limits = self.limits;
         self.entries
             .retain(|_, entry| entry.age_us(now) < 2 * quarantine_us(limits, entry));
     }
 
-    /// For how much longer a suspect is refused; nothing where it is not.
-    fn left_us(&self, now: Micros, entry: &Entry) -> Option<Micros> {
+    /// Remaining time of a quarantine; `None` if the suspect is not quarantined.
+    fn remaining_us(&self, now: Micros, entry: &Entry) -> Option<Micros> {
         let limit = self.limits.crash_limit;
-        let is_one_sender = entry.senders() > 0 && entry.senders() < SENDERS;
-        if limit == 0 || entry.row() < limit + entry.chances() || is_one_sender {
+        let senders = entry.sender_count();
+        let has_too_few_senders = senders > 0 && senders < MIN_SENDERS;
+        let required = limit + entry.coincidence_allowance();
+        if limit == 0 || entry.consecutive_exits() < required || has_too_few_senders {
             return None;
         }
-        let until = quarantine_us(self.limits, entry);
-        until
+        let duration = quarantine_us(self.limits, entry);
+        duration
             .checked_sub(entry.age_us(now))
-            .filter(|left| *left > 0)
+            .filter(|remaining| *remaining > 0)
     }
 
-    /// Forgets those with the fewest ends, the oldest of them first.
-    fn keep_bound(&mut self) {
-        while self.entries.len() > ENTRIES {
-            let weight = |entry: &Entry| (entry.row(), entry.last_at());
+    /// Removes the entries with the fewest consecutive exits, oldest first, down to the maximum.
+    fn enforce_capacity(&mut self) {
+        while self.entries.len() > MAX_ENTRIES {
+            let weight = |entry: &Entry| (entry.consecutive_exits(), entry.last_exit_at());
             let least = self.entries.iter().min_by_key(|(_, entry)| weight(entry));
-            let Some(print) = least.map(|(print, _)| *print) else {
+            let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) else {
                 return;
             };
-            self.entries.remove(&print);
+            self.entries.remove(&fingerprint);
         }
     }
 }
 
-/// How long a request is refused after its last end: a trial follows, and one that ends a
-/// target again is refused for twice as long.
+/// Duration of a quarantine after the last exit. Afterwards the request is tried again; if a
+/// target exits again, the duration doubles.
 fn quarantine_us(limits: QuarantineLimits, entry: &Entry) -> Micros {
-    /// Doublings at most: 32 times the first quarantine, some hours.
-    const DOUBLINGS: u32 = 5;
-    let needed = limits.crash_limit + entry.chances();
-    let beyond = entry.row().saturating_sub(needed);
-    limits.quarantine_us << beyond.min(DOUBLINGS)
+    /// Maximum number of doublings: 32 times the first quarantine, a few hours.
+    const MAX_DOUBLINGS: u32 = 5;
+    let required = limits.crash_limit + entry.coincidence_allowance();
+    let excess = entry.consecutive_exits().saturating_sub(required);
+    limits.quarantine_us << excess.min(MAX_DOUBLINGS)
 }
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -1,257 +1,256 @@
-//! Which incarnation of the target beside a daemon may be given calls, decided
-//! from what the target reports of itself.
+//! Decides which incarnation of the target next to a daemon may receive calls, from the reports
+//! that targets send about themselves.
 //!
-//! Reports come late, twice and out of order. Three rules follow: a report counts
-//! only if its sequence number is higher than any seen of that incarnation (a name, and the
-//! time of its start: a target may start again under the name that it had);
-//! draining and gone are final for an incarnation; and an incarnation that was
-//! replaced by a later one never comes back. A daemon that has heard nothing
-//! since its own start gives its target no calls.
+//! Reports can be delayed, duplicated and reordered. An incarnation is identified by the instance
+//! name and the start time, because a target may restart under the same name. Three rules apply:
+//! a report counts only if its sequence number is higher than any seen from that incarnation;
+//! draining and gone are final for an incarnation; and an incarnation that was replaced by a later
+//! one never becomes current again. A daemon that has received no report since it started gives
+//! its target no calls.
 //!
-//! Which of two incarnations is the later one, their reports do not tell: one that was held
-//! back on its way can arrive when its sender is gone and another is in place. So a report of
-//! another incarnation than the one in place has the target at the address asked who it is.
+//! Reports alone do not tell which of two incarnations is the later one: a delayed report can
+//! arrive when its sender is gone and has been replaced. On a report of an incarnation other than
+//! the current one, the daemon therefore asks the target at the address for its instance name.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Incarnations remembered as ended.
-const ENDED_LIMIT: usize = 1_024;
+/// Maximum number of ended incarnations stored.
+const MAX_ENDED: usize = 1_024;
 
-/// What a target says it is doing.
+/// Lifecycle state that a target reports.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportedState {
-    /// It takes calls.
+    /// The target accepts calls.
     Ready,
-    /// It finishes what it has and takes no new calls.
+    /// The target finishes its calls and accepts no new ones.
     Draining,
-    /// It is about to end.
+    /// The target is about to exit.
     Gone,
 }
 
-/// One report of a target.
+/// Report of a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetReport {
-    /// The target's name.
+    /// Instance name of the target.
     pub instance: String,
-    /// When it started, in milliseconds since 1970 by its own clock; absent where it does not
-    /// say.
+    /// Start time, in milliseconds since 1970 by the target's clock, if reported.
     pub started_ms: Option<u64>,
-    /// Service that it runs; absent where the report does not say.
+    /// Service of the target, if reported.
     pub service: Option<String>,
-    /// Version of its software; absent where the report does not say.
+    /// Software version of the target, if reported.
     pub version: Option<String>,
-    /// What it is doing.
+    /// Lifecycle state.
     pub state: ReportedState,
-    /// Order of its reports; absent where the report has no place in the order.
+    /// Sequence number among the reports of the incarnation; absent for unordered reports.
     pub sequence: Option<u64>,
-    /// Calls it serves at once; absent where it does not say.
+    /// Maximum number of concurrent calls, if reported.
     pub slots: Option<u32>,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time for which the target is slow after its start, in milliseconds.
     pub cold_ms: u64,
 }
 
-/// What a report changes.
+/// Effect of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportEffect {
-    /// Nothing: it is old.
-    Nothing,
-    /// It is the newest of the target in place and says what is known, but for how long the
-    /// target is cold.
-    Newer,
-    /// The target in place changed: another incarnation, or another state.
+    /// The report is outdated and has no effect.
+    Ignored,
+    /// The report is the latest of the current target. Nothing changed except possibly the
+    /// remaining cold time.
+    Refreshed,
+    /// The current target changed: another incarnation, state or number of slots.
     Changed,
-    /// Another incarnation than the one in place says that it is ready; see
-    /// [`TargetReports::settle_rival`].
-    Rival,
+    /// An incarnation other than the current one reports that it is ready; see
+    /// [`TargetReports::resolve_conflict`].
+    Conflict,
 }
 
-/// The target that is in place.
+/// Incarnation that is taken to be at the target's address.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct InPlace {
-    /// Its name.
+pub struct CurrentTarget {
+    /// Instance name.
     pub instance: String,
-    /// When it started; absent where it never said.
+    /// Start time, in milliseconds since 1970 by the target's clock, if reported.
     pub started_ms: Option<u64>,
-    /// Its service; absent where it never said.
+    /// Service, if reported.
     pub service: Option<String>,
-    /// Version of its software; absent where it never said.
+    /// Software version, if reported.
     pub version: Option<String>,
-    /// What it is doing.
+    /// Lifecycle state.
     pub state: ReportedState,
-    /// Calls it serves at once; absent where it does not say.
+    /// Maximum number of concurrent calls, if reported.
     pub slots: Option<u32>,
     sequence: u64,
 }
 
-impl InPlace {
-    /// Whether it is another incarnation than the one that was in place before.
-    pub fn is_other_than(&self, before: &InPlace) -> bool {
-        self.instance != before.instance || is_later(self.started_ms, before.started_ms)
+impl CurrentTarget {
+    /// Whether this is another incarnation than `before`.
+    pub fn is_other_than(&self, before: &CurrentTarget) -> bool {
+        self.instance != before.instance || is_later_start(self.started_ms, before.started_ms)
     }
 }
 
-/// An incarnation that ended.
+/// Incarnation that is draining or gone, or was replaced.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
+struct EndedIncarnation {
     started_ms: Option<u64>,
     state: ReportedState,
 }
 
-/// All that a daemon knows from its target's reports.
+/// State derived from the reports of a daemon's target.
 #[derive(Debug, Default)]
 pub struct TargetReports {
-    in_place: Option<InPlace>,
-    /// Report of another incarnation, until it is known which one stands at the address.
-    rival: Option<TargetReport>,
-    /// By name, of the last incarnation of that name that ended.
-    ended: HashMap<String, Ended>,
+    current: Option<CurrentTarget>,
+    /// Report of another incarnation, until it is known which one is at the address.
+    conflicting: Option<TargetReport>,
+    /// Last ended incarnation of each instance name.
+    ended: HashMap<String, EndedIncarnation>,
 }
 
 impl TargetReports {
-    /// The target in place, whatever its state.
-    pub fn in_place(&self) -> Option<&InPlace> {
-        self.in_place.as_ref()
+    /// Current incarnation, in any state.
+    pub fn current(&self) -> Option<&CurrentTarget> {
+        self.current.as_ref()
     }
 
-    /// The incarnation that may be given calls.
-    pub fn open(&self) -> Option<&InPlace> {
-        let ready = |target: &&InPlace| target.state == ReportedState::Ready;
-        self.in_place.as_ref().filter(ready)
+    /// Current incarnation if it may receive calls.
+    pub fn ready(&self) -> Option<&CurrentTarget> {
+        let is_ready = |target: &&CurrentTarget| target.state == ReportedState::Ready;
+        self.current.as_ref().filter(is_ready)
     }
 
-    /// An earlier run of this daemon left word that an incarnation ended.
+    /// Applies a stored record of an earlier run of this daemon that an incarnation ended.
     pub fn mark_ended(
         &mut self,
         instance: &str,
         started_ms: Option<u64>,
         state: ReportedState,
     ) -> ReportEffect {
-        self.remember_ended(instance, started_ms, state);
-        let Some(target) = self.in_place.as_mut() else {
-            return ReportEffect::Nothing;
+        self.record_ended(instance, started_ms, state);
+        let Some(target) = self.current.as_mut() else {
+            return ReportEffect::Ignored;
         };
-        let is_meant = target.instance == instance && !is_later(target.started_ms, started_ms);
-        if !is_meant || target.state != ReportedState::Ready {
-            return ReportEffect::Nothing;
+        let is_same = target.instance == instance && !is_later_start(target.started_ms, started_ms);
+        if !is_same || target.state != ReportedState::Ready {
+            return ReportEffect::Ignored;
         }
         target.state = state;
         ReportEffect::Changed
     }
 
-    /// The target at the address answered as another incarnation than the one in
-    /// place: what is in place is no longer there.
+    /// Marks an incarnation as gone because the target at the address answered as another one.
     pub fn mark_replaced(&mut self, instance: &str) -> ReportEffect {
-        let in_place = self.in_place.as_ref();
-        let named = in_place.filter(|target| target.instance == instance);
+        let current = self.current.as_ref();
+        let named = current.filter(|target| target.instance == instance);
         let started_ms = named.and_then(|target| target.started_ms);
         self.mark_ended(instance, started_ms, ReportedState::Gone)
     }
 
-    /// Takes one report.
-    pub fn take(&mut self, report: TargetReport) -> ReportEffect {
-        match self.in_place.as_ref() {
-            Some(target) if target.instance != report.instance => self.of_another(report),
-            Some(target) if is_later(target.started_ms, report.started_ms) => ReportEffect::Nothing,
-            // Its reports are numbered anew, and what the former one said binds it no more.
-            // Without this, a target whose drain was acknowledged was given calls.
-            Some(target) if is_later(report.started_ms, target.started_ms) => {
-                self.place(report, None)
+    /// Applies a report.
+    pub fn apply(&mut self, report: TargetReport) -> ReportEffect {
+        match self.current.as_ref() {
+            Some(target) if target.instance != report.instance => self.apply_from_other(report),
+            Some(target) if is_later_start(target.started_ms, report.started_ms) => {
+                ReportEffect::Ignored
             }
-            Some(_) => self.of_same(report),
-            None => self.of_another(report),
+            // A restart under the same name: sequence numbers start over, and the final state of
+            // the previous incarnation does not apply. Otherwise the new incarnation received
+            // calls after its drain was acknowledged.
+            Some(target) if is_later_start(report.started_ms, target.started_ms) => {
+                self.set_current(report, None)
+            }
+            Some(_) => self.apply_from_current(report),
+            None => self.apply_from_other(report),
         }
     }
 
-    fn of_same(&mut self, report: TargetReport) -> ReportEffect {
-        let Some(target) = self.in_place.as_mut() else {
-            return ReportEffect::Nothing;
+    fn apply_from_current(&mut self, report: TargetReport) -> ReportEffect {
+        let Some(target) = self.current.as_mut() else {
+            return ReportEffect::Ignored;
         };
         if report
             .sequence
-            .is_some_and(|number| number <= target.sequence)
+            .is_some_and(|sequence| sequence <= target.sequence)
         {
-            return ReportEffect::Nothing;
+            return ReportEffect::Ignored;
         }
         target.sequence = report.sequence.unwrap_or(target.sequence);
         target.started_ms = target.started_ms.or(report.started_ms);
-        let was = target.state;
+        let state = later_state(target.state, report.state);
         let slots = report.slots.or(target.slots);
-        let same = later(was, report.state) == was && slots == target.slots;
-        if same {
-            return ReportEffect::Newer;
+        if state == target.state && slots == target.slots {
+            return ReportEffect::Refreshed;
         }
         target.slots = slots;
-        target.state = later(was, report.state);
-        let (instance, started_ms, state) =
-            (target.instance.clone(), target.started_ms, target.state);
+        target.state = state;
+        let (instance, started_ms) = (target.instance.clone(), target.started_ms);
         if state != ReportedState::Ready {
-            self.remember_ended(&instance, started_ms, state);
+            self.record_ended(&instance, started_ms, state);
         }
         ReportEffect::Changed
     }
 
-    fn of_another(&mut self, report: TargetReport) -> ReportEffect {
+    fn apply_from_other(&mut self, report: TargetReport) -> ReportEffect {
         let ended = self.ended_state(&report);
-        let stands = self.in_place.is_some();
-        if stands && ended.is_some() {
-            return ReportEffect::Nothing;
+        let has_current = self.current.is_some();
+        if has_current && ended.is_some() {
+            return ReportEffect::Ignored;
         }
-        if stands && report.state != ReportedState::Ready {
-            self.remember_ended(&report.instance, report.started_ms, report.state);
-            return ReportEffect::Nothing;
+        if has_current && report.state != ReportedState::Ready {
+            self.record_ended(&report.instance, report.started_ms, report.state);
+            return ReportEffect::Ignored;
         }
-        if self.open().is_some() {
-            self.rival = Some(report);
-            return ReportEffect::Rival;
+        if self.ready().is_some() {
+            self.conflicting = Some(report);
+            return ReportEffect::Conflict;
         }
-        if let Some(before) = self.in_place.take() {
-            self.remember_ended(&before.instance, before.started_ms, ReportedState::Gone);
+        if let Some(before) = self.current.take() {
+            self.record_ended(&before.instance, before.started_ms, ReportedState::Gone);
         }
-        self.place(report, ended)
+        self.set_current(report, ended)
     }
 
-    /// The target at the address said that it is the incarnation that an earlier run of this
-    /// daemon left word of, and that it is well. It is taken as in place before it reports
-    /// again.
+    /// Makes an incarnation current before its first report, when it is recorded as ready by an
+    /// earlier run of this daemon and the target confirmed its instance name and health.
     pub fn confirm(&mut self, report: TargetReport) -> ReportEffect {
-        if self.in_place.is_some() || self.ended_state(&report).is_some() {
-            return ReportEffect::Nothing;
+        if self.current.is_some() || self.ended_state(&report).is_some() {
+            return ReportEffect::Ignored;
         }
-        self.place(report, None)
+        self.set_current(report, None)
     }
 
-    /// The target at the address said which incarnation it is, or gave no answer; that
-    /// decides whether the one whose report came last takes the place. Without an answer it
-    /// does, since the one in place does not show that it is there, but the latter may come
-    /// back.
-    pub fn settle_rival(&mut self, at_address: Option<&str>) -> ReportEffect {
-        let Some(rival) = self.rival.take() else {
-            return ReportEffect::Nothing;
+    /// Resolves a conflict, given the instance name that the target at the address answered with,
+    /// or `None` if it did not answer. Unless it ended meanwhile, the conflicting incarnation
+    /// becomes current if it is the one that answered. It also does without an answer, as the
+    /// current one gave no sign of life; the latter is then not marked as gone and can become
+    /// current again.
+    pub fn resolve_conflict(&mut self, at_address: Option<&str>) -> ReportEffect {
+        let Some(conflicting) = self.conflicting.take() else {
+            return ReportEffect::Ignored;
         };
-        if at_address.is_some_and(|instance| instance != rival.instance) {
-            return ReportEffect::Nothing;
+        if at_address.is_some_and(|instance| instance != conflicting.instance) {
+            return ReportEffect::Ignored;
         }
-        if self.ended_state(&rival).is_some() {
-            return ReportEffect::Nothing;
+        if self.ended_state(&conflicting).is_some() {
+            return ReportEffect::Ignored;
         }
-        if let Some(before) = self.in_place.take()
+        if let Some(before) = self.current.take()
             && at_address.is_some()
         {
-            self.remember_ended(&before.instance, before.started_ms, ReportedState::Gone);
+            self.record_ended(&before.instance, before.started_ms, ReportedState::Gone);
         }
-        self.place(rival, None)
+        self.set_current(conflicting, None)
     }
 
-    /// Puts the sender of a report in place.
-    fn place(&mut self, report: TargetReport, ended: Option<ReportedState>) -> ReportEffect {
-        let state = ended.map_or(report.state, |ended| later(ended, report.state));
+    /// Makes the sender of a report the current incarnation.
+    fn set_current(&mut self, report: TargetReport, ended: Option<ReportedState>) -> ReportEffect {
+        let state = ended.map_or(report.state, |ended| later_state(ended, report.state));
         if state != ReportedState::Ready {
-            self.remember_ended(&report.instance, report.started_ms, state);
+            self.record_ended(&report.instance, report.started_ms, state);
         }
-        self.in_place = Some(InPlace {
+        self.current = Some(CurrentTarget {
             instance: report.instance,
             started_ms: report.started_ms,
             service: report.service,
@@ -263,41 +262,41 @@
         ReportEffect::Changed
     }
 
-    /// How the sender of a report ended; nothing where it did not, or started again since.
+    /// Final state of the sender of a report; `None` if it did not end or has restarted since.
     fn ended_state(&self, report: &TargetReport) -> Option<ReportedState> {
         let ended = self.ended.get(&report.instance)?;
-        let started_again = is_later(report.started_ms, ended.started_ms);
-        (!started_again).then_some(ended.state)
+        let has_restarted = is_later_start(report.started_ms, ended.started_ms);
+        (!has_restarted).then_some(ended.state)
     }
 
-    fn remember_ended(&mut self, instance: &str, started_ms: Option<u64>, state: ReportedState) {
-        if self.ended.len() >= ENDED_LIMIT && !self.ended.contains_key(instance) {
+    fn record_ended(&mut self, instance: &str, started_ms: Option<u64>, state: ReportedState) {
+        if self.ended.len() >= MAX_ENDED && !self.ended.contains_key(instance) {
             return;
         }
-        let ended = Ended { started_ms, state };
+        let ended = EndedIncarnation { started_ms, state };
         let known = self.ended.entry(instance.to_owned()).or_insert(ended);
-        if is_later(known.started_ms, started_ms) {
+        if is_later_start(known.started_ms, started_ms) {
             return;
         }
-        *known = match is_later(started_ms, known.started_ms) {
+        *known = match is_later_start(started_ms, known.started_ms) {
             true => ended,
-            false => Ended {
+            false => EndedIncarnation {
                 started_ms: known.started_ms.or(started_ms),
-                state: later(known.state, state),
+                state: later_state(known.state, state),
             },
         };
     }
 }
 
-/// Whether one start is known to come after another of the same target.
-fn is_later(one: Option<u64>, other: Option<u64>) -> bool {
-    matches!((one, other), (Some(one), Some(other)) if one > other)
+/// Whether the first of two starts under one name is known to be later than the second.
+fn is_later_start(first: Option<u64>, second: Option<u64>) -> bool {
+    matches!((first, second), (Some(first), Some(second)) if first > second)
 }
 
-/// The state that is further on a target's way from ready to gone.
-fn later(one: ReportedState, other: ReportedState) -> ReportedState {
+/// The later of two states in the order ready, draining, gone.
+fn later_state(first: ReportedState, second: ReportedState) -> ReportedState {
     use ReportedState::{Draining, Gone, Ready};
-    match (one, other) {
+    match (first, second) {
         (Gone, _) | (_, Gone) => Gone,
         (Draining, _) | (_, Draining) => Draining,
         (Ready, Ready) => Ready,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,7 +2,7 @@
 
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
-    AttemptId, CallKind, Elsewhere, Homes, NotRunReason, Refusal, RolloutUpdate, SuspectNews,
+    AttemptId, CallKind, Elsewhere, Homes, NotRunReason, Refusal, RolloutUpdate, SuspectUpdate,
     TargetEvidence, TargetExitId, TargetLoad, ZoneUpdate,
 };
 use serde::{Deserialize, Serialize};
@@ -418,7 +418,7 @@
     /// Changes of the members' table that the sender knows of.
     Rows(RowsFrame),
     /// Requests under which targets ended, as the sender knows.
-    Suspects(Vec<SuspectNews>),
+    Suspects(Vec<SuspectUpdate>),
     /// Requests quota tokens of an organisation.
     AskQuota(QuotaAsk),
     /// Grants quota tokens of an organisation.
