--- a/crates/daemon/src/quota/owners.rs
+++ b/crates/daemon/src/quota/owners.rs
@@ -46,7 +46,7 @@
     let live = members
         .iter()
         .filter(|entry| entry.state == HostState::Live);
-    let owners = BucketOwners::of(live.map(|entry| entry.host.as_str()));
+    let owners = BucketOwners::from_members(live.map(|entry| entry.host.as_str()));
     core.quota.set_bucket_owners(owners)
 }
 
--- a/crates/daemon/src/quota/take.rs
+++ b/crates/daemon/src/quota/take.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lynxcleat_policy::{LeaseStep, Micros};
+use lynxcleat_policy::{LeaseOutcome, Micros};
 use lynxcleat_settings::NamedOrganisation;
 use thiserror::Error;
 
@@ -64,15 +64,19 @@
         tokio::pin!(answered);
         answered.as_mut().enable();
         let step = lock(&lease.lease).take(core.clock.now());
-        if let LeaseStep::Taken { ask: Some(request) } | LeaseStep::Wait { ask: Some(request) } =
-            step
+        if let LeaseOutcome::Taken {
+            request: Some(request),
+        }
+        | LeaseOutcome::Wait {
+            request: Some(request),
+        } = step
         {
             ask::spawn(core, Arc::clone(named), Arc::clone(lease), request);
         }
         match step {
-            LeaseStep::Taken { .. } => return Ok(()),
-            LeaseStep::Limited { retry_after_us } => return Err(OverQuota { retry_after_us }),
-            LeaseStep::Wait { .. } => answered.await,
+            LeaseOutcome::Taken { .. } => return Ok(()),
+            LeaseOutcome::Limited { retry_after_us } => return Err(OverQuota { retry_after_us }),
+            LeaseOutcome::Wait { .. } => answered.await,
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -79,7 +79,7 @@
     SuspectUpdate,
 };
 pub use quota::{
-    BucketOwners, LeaseStep, QuotaBucket, QuotaGrant, QuotaLease, QuotaLimit, TokenRequest,
+    BucketOwners, LeaseOutcome, QuotaBucket, QuotaGrant, QuotaLease, QuotaLimit, TokenRequest,
     owner_count,
 };
 pub use reconnect::{ReconnectBackoff, ReconnectEvent};
--- a/crates/policy/src/quota/lease.rs
+++ b/crates/policy/src/quota/lease.rs
@@ -25,16 +25,16 @@
 
 /// Outcome of taking a token for a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LeaseStep {
+pub enum LeaseOutcome {
     /// The call has a token.
     Taken {
         /// Prefetch request to send, if any.
-        ask: Option<TokenRequest>,
+        request: Option<TokenRequest>,
     },
     /// The call waits for the response to a request.
     Wait {
         /// Request to send; absent if one is already pending.
-        ask: Option<TokenRequest>,
+        request: Option<TokenRequest>,
     },
     /// The organisation is over its quota.
     Limited {
@@ -70,25 +70,25 @@
     }
 
     /// Takes a token for a call.
-    pub fn take(&mut self, now: Micros) -> LeaseStep {
+    pub fn take(&mut self, now: Micros) -> LeaseOutcome {
         if now >= self.expires_at {
             self.returned = self.returned.saturating_add(self.tokens);
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
-            return LeaseStep::Taken {
-                ask: self.prefetch(now),
+            return LeaseOutcome::Taken {
+                request: self.prefetch(now),
             };
         }
         if now < self.limited_until {
-            return LeaseStep::Limited {
+            return LeaseOutcome::Limited {
                 retry_after_us: self.retry_after_us,
             };
         }
         self.waiting += 1;
-        let ask = (!self.is_request_pending).then(|| self.request(1 + self.expected_calls()));
-        LeaseStep::Wait { ask }
+        let request = (!self.is_request_pending).then(|| self.request(1 + self.expected_calls()));
+        LeaseOutcome::Wait { request }
     }
 
     /// Applies the response of the bucket.
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -9,5 +9,5 @@
 mod owners;
 
 pub use bucket::{QuotaBucket, QuotaGrant, QuotaLimit};
-pub use lease::{LeaseStep, QuotaLease, TokenRequest};
+pub use lease::{LeaseOutcome, QuotaLease, TokenRequest};
 pub use owners::{BucketOwners, owner_count};
--- a/crates/policy/src/quota/owners.rs
+++ b/crates/policy/src/quota/owners.rs
@@ -20,8 +20,8 @@
 }
 
 impl BucketOwners {
-    /// Selects the owners from the members by hash, identically at all daemons.
-    pub fn of<'a>(members: impl Iterator<Item = &'a str>) -> Self {
+    /// Selects the owners from the members by hash; all daemons select the same ones.
+    pub fn from_members<'a>(members: impl Iterator<Item = &'a str>) -> Self {
         let mut hosts: Vec<&str> = members.collect();
         hosts.sort_by_cached_key(|host| hash_of(&[host]));
         hosts.truncate(owner_count(hosts.len()));
@@ -47,7 +47,7 @@
         order
     }
 
-    /// Fraction of a limit that one daemon may grant, given how many owners it reaches (itself
+    /// Fraction of a limit that one daemon may grant, given how many owners it can reach (itself
     /// included). With a majority of them it grants the whole limit; otherwise a proportional
     /// share, which bounds the excess during a network partition.
     pub fn share(&self, reached: usize, members: usize) -> f64 {
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use lynxcleat_policy::{
-    BucketOwners, LeaseStep, Micros, QuotaBucket, QuotaLease, QuotaLimit, owner_count,
+    BucketOwners, LeaseOutcome, Micros, QuotaBucket, QuotaLease, QuotaLimit, owner_count,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -13,7 +13,7 @@
 const SECOND: Micros = 1_000_000;
 /// Time from a token request to its response.
 const ROUND_TRIP: Micros = 2_000;
-/// Counting window, in seconds.
+/// Length of the window in which calls are counted, in seconds.
 const WINDOW_S: u64 = 5;
 /// Tolerance of the window bound beyond rate and burst: a fraction, and a number of calls.
 const EXCESS: f64 = 0.1;
@@ -59,21 +59,21 @@
     }
 
     fn take(&mut self, now: Micros, daemon: usize) {
-        let ask = match self.leases[daemon].take(now) {
-            LeaseStep::Taken { ask } => {
+        let request = match self.leases[daemon].take(now) {
+            LeaseOutcome::Taken { request } => {
                 self.ran_at.push(now);
-                ask
+                request
             }
-            LeaseStep::Wait { ask } => {
+            LeaseOutcome::Wait { request } => {
                 self.waiting[daemon] += 1;
-                ask
+                request
             }
-            LeaseStep::Limited { .. } => {
+            LeaseOutcome::Limited { .. } => {
                 self.refused += 1;
                 None
             }
         };
-        if let Some(request) = ask {
+        if let Some(request) = request {
             let (tokens, returned) = (request.tokens, request.returned);
             let grant = self.bucket.grant(now, self.limit, 1.0, tokens, returned);
             let response = (now + ROUND_TRIP, daemon, grant.tokens, grant.retry_after_us);
@@ -132,7 +132,7 @@
 #[case::few_daemons(264, 264, 5)]
 #[case::sixty_two_daemons(264, 264, 62)]
 #[case::many_daemons(1_000, 500, 1_000)]
-fn an_organisation_that_asks_for_five_times_its_quota_gets_it_and_no_more(
+fn an_organisation_that_calls_at_five_times_its_quota_gets_its_quota_and_no_more(
     #[case] rate: u64,
     #[case] burst: u64,
     #[case] daemons: usize,
@@ -154,7 +154,7 @@
 #[case(20, 20, 62)]
 #[case(264, 264, 62)]
 #[case(100, 100, 1_000)]
-fn an_organisation_within_its_quota_is_never_refused(
+fn an_organisation_within_its_quota_has_few_calls_refused(
     #[case] rate: u64,
     #[case] burst: u64,
     #[case] daemons: usize,
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_lower_limit_holds_one_window_later() {
+fn a_lowered_limit_applies_after_one_window() {
     let mut fleet = Fleet::new(limit(1_000, 1_000), 62);
     run_load(&mut fleet, &[(1_500, 5)], 1);
     fleet.limit = limit(50, 50);
@@ -189,17 +189,23 @@
 #[test]
 fn expired_tokens_are_returned_with_the_next_request() {
     let mut lease = QuotaLease::default();
-    assert!(matches!(lease.take(0), LeaseStep::Wait { ask: Some(_) }));
+    assert!(matches!(
+        lease.take(0),
+        LeaseOutcome::Wait { request: Some(_) }
+    ));
     lease.apply_grant(0, 10, 0);
-    assert!(matches!(lease.take(0), LeaseStep::Taken { .. }));
-    let LeaseStep::Wait { ask: Some(request) } = lease.take(10 * SECOND) else {
+    assert!(matches!(lease.take(0), LeaseOutcome::Taken { .. }));
+    let LeaseOutcome::Wait {
+        request: Some(request),
+    } = lease.take(10 * SECOND)
+    else {
         panic!("expected a token request after the lease expired");
     };
     assert_eq!((request.tokens, request.returned), (1, 9));
 }
 
 #[test]
-fn tokens_of_calls_that_no_target_ran_serve_others() {
+fn returned_tokens_of_calls_that_were_not_run_admit_others() {
     let mut fleet = Fleet::new(limit(10, 10), 1);
     let mut returned = 0;
     for step in 0..100 {
@@ -232,7 +238,7 @@
 #[test]
 fn bucket_owners_on_both_sides_of_a_partition_bound_the_excess() {
     let hosts: Vec<String> = (0..62).map(|number| format!("host-{number}")).collect();
-    let owners = BucketOwners::of(hosts.iter().map(String::as_str));
+    let owners = BucketOwners::from_members(hosts.iter().map(String::as_str));
     let all = owners.hosts().len();
     assert_eq!(all, owner_count(62));
     for side in 0..=all {
@@ -246,8 +252,8 @@
 #[test]
 fn bucket_owners_do_not_depend_on_member_order_and_are_few() {
     let hosts: Vec<String> = (0..984).map(|number| format!("host-{number}")).collect();
-    let forward = BucketOwners::of(hosts.iter().map(String::as_str));
-    let backward = BucketOwners::of(hosts.iter().rev().map(String::as_str));
+    let forward = BucketOwners::from_members(hosts.iter().map(String::as_str));
+    let backward = BucketOwners::from_members(hosts.iter().rev().map(String::as_str));
     assert_eq!(forward, backward);
     assert_eq!(forward.hosts().len(), 32);
     let firsts: std::collections::BTreeSet<&str> = (0..500)
