--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -1,5 +1,5 @@
-//! Cost of the decisions: a call from arrival to answer at 4 to 800 known targets,
-//! an admission, and an ask of the measuring budget.
+//! Benchmarks of the state machines: routing of a call, from arrival to response, with 4 to 800
+//! known targets; admission of a call; and a request to the measurement budget.
 
 use std::hint::black_box;
 
@@ -10,7 +10,7 @@
     SelectionParams, TargetId, TargetLoad,
 };
 
-const FIGURES: TargetLoad = TargetLoad {
+const LOAD: TargetLoad = TargetLoad {
     in_flight: 5,
     held: 0,
     slots: 12,
@@ -41,8 +41,8 @@
     router
 }
 
-/// One call: arrival, choice, answer with figures.
-fn one_call(router: &mut Router, now: &mut u64) {
+/// Routes one call: arrival, target selection and response with load.
+fn route_call(router: &mut Router, now: &mut u64) {
     *now += 50;
     let arrived = Event::Arrived {
         call: CallId(*now),
@@ -60,28 +60,28 @@
     let answered = Event::Answered {
         attempt: *attempt,
         status: AnswerStatus::Served,
-        load: Some(FIGURES),
+        load: Some(LOAD),
         remote_us: 5_000,
         work_us: None,
     };
     black_box(router.on(*now + 5_300, answered));
 }
 
-fn calls(criterion: &mut Criterion) {
+fn bench_routing(criterion: &mut Criterion) {
     for policy in [Policy::ExpectedFinish, Policy::PowerOfTwo] {
         let mut group = criterion.benchmark_group(format!("call/{policy:?}"));
         for targets in [4, 16, 64, 800] {
             group.bench_function(BenchmarkId::from_parameter(targets), |bencher| {
                 let mut router = router(policy, targets);
                 let mut now = 0;
-                bencher.iter(|| one_call(&mut router, &mut now));
+                bencher.iter(|| route_call(&mut router, &mut now));
             });
         }
         group.finish();
     }
 }
 
-fn admission(criterion: &mut Criterion) {
+fn bench_admission(criterion: &mut Criterion) {
     criterion.bench_function("admit and done", |bencher| {
         let limits = AdmissionLimits {
             slots: 12,
@@ -91,13 +91,13 @@
             cold_calls_per_s: 0,
             cold_ms: 0,
         };
-        let mut admit = AdmissionController::new(limits);
+        let mut controller = AdmissionController::new(limits);
         let mut now = 0;
         bencher.iter(|| {
             now += 50;
             let call = CallId(now);
             let deadline = now + 1_000_000;
-            black_box(admit.on(
+            black_box(controller.on(
                 now,
                 AdmissionEvent::Offer {
                     call,
@@ -106,7 +106,7 @@
                 },
             ));
             let service_us = Some(5_000);
-            black_box(admit.on(
+            black_box(controller.on(
                 now,
                 AdmissionEvent::Done {
                     call,
@@ -118,7 +118,7 @@
     });
 }
 
-fn budget(criterion: &mut Criterion) {
+fn bench_budget(criterion: &mut Criterion) {
     criterion.bench_function("budget ask", |bencher| {
         let mut budget = Budget::new(Cost {
             messages: 200,
@@ -133,5 +133,5 @@
     });
 }
 
-criterion_group!(benches, calls, admission, budget);
+criterion_group!(benches, bench_routing, bench_admission, bench_budget);
 criterion_main!(benches);
