--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,7 +2,7 @@
 
 use lynxcleat_once::{FenceReply, Operation, Ticket};
 use lynxcleat_policy::{
-    AttemptId, CallKind, Elsewhere, Homes, NotRunReason, Refusal, RolloutUpdate, SuspectNews,
+    AttemptId, CallKind, Elsewhere, Homes, NotRunReason, Refusal, RolloutUpdate, SuspectUpdate,
     TargetEvidence, TargetExitId, TargetLoad, ZoneUpdate,
 };
 use serde::{Deserialize, Serialize};
@@ -420,7 +420,7 @@
     /// Changes to the member table known to the sender.
     Rows(RowsFrame),
     /// Requests during which targets terminated, as known to the sender.
-    Suspects(Vec<SuspectNews>),
+    Suspects(Vec<SuspectUpdate>),
     /// Requests quota tokens of an organisation.
     AskQuota(QuotaRequest),
     /// Grants quota tokens of an organisation.
