--- a/crates/policy/src/quarantine/entry.rs
+++ b/crates/policy/src/quarantine/entry.rs
@@ -127,8 +127,8 @@
 
     /// Exits that count, without duplicates.
     pub(super) fn counted_exits(&self) -> Vec<TargetExitId> {
-        let exits = self.exits.iter().map(|known| known.observed.exit);
-        let mut exits: Vec<TargetExitId> = exits.collect();
+        let mut exits: Vec<TargetExitId> =
+            self.exits.iter().map(|known| known.observed.exit).collect();
         exits.sort_unstable();
         exits.dedup();
         exits
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -122,8 +122,10 @@
         let full = self.entries.get(&fingerprints.full);
         let content = self.entries.get(&fingerprints.content);
         let known = || [full, content].into_iter().flatten();
-        let remaining = known().filter_map(|entry| self.remaining_us(now, entry));
-        match remaining.max() {
+        let remaining_us = known()
+            .filter_map(|entry| self.remaining_us(now, entry))
+            .max();
+        match remaining_us {
             Some(remaining_us) => QuarantineStatus::Quarantined { remaining_us },
             None if known().any(Entry::is_suspect) => QuarantineStatus::Suspect,
             None => QuarantineStatus::Clear,
@@ -195,9 +197,8 @@
     pub fn merge(&mut self, now: Micros, updates: &[SuspectUpdate]) -> QuarantineChange {
         let mut change = QuarantineChange::default();
         for update in updates {
-            let fingerprint = update.fingerprint;
-            let before = self.is_quarantined(now, fingerprint);
-            let entry = self.entries.entry(fingerprint);
+            let before = self.is_quarantined(now, update.fingerprint);
+            let entry = self.entries.entry(update.fingerprint);
             if !entry
                 .or_insert_with(|| Entry::new(now, update))
                 .merge(now, update)
@@ -205,9 +206,9 @@
                 continue;
             }
             change.updates.push(update.clone());
-            match (before, self.is_quarantined(now, fingerprint)) {
-                (false, true) => change.quarantined.push(fingerprint),
-                (true, false) => change.released.push(fingerprint),
+            match (before, self.is_quarantined(now, update.fingerprint)) {
+                (false, true) => change.quarantined.push(update.fingerprint),
+                (true, false) => change.released.push(update.fingerprint),
                 _ => {}
             }
         }
@@ -230,7 +231,9 @@
         fingerprints: RequestFingerprints,
     ) -> Vec<SuspectUpdate> {
         let fingerprints = [fingerprints.full, fingerprints.content];
-        let update = |fingerprint: &Fingerprint| self.suspect_update(now, *fingerprint);
+        let update = |fingerprint: &Fingerprint| {
+            Some(self.entries.get(fingerprint)?.to_update(now, *fingerprint))
+        };
         fingerprints.iter().filter_map(update).collect()
     }
 
@@ -278,10 +281,11 @@
     /// Remaining time of a quarantine; `None` if the suspect is not quarantined.
     fn remaining_us(&self, now: Micros, entry: &Entry) -> Option<Micros> {
         let limit = self.limits.crash_limit;
-        let senders = entry.sender_count();
-        let has_too_few_senders = senders > 0 && senders < MIN_SENDERS;
-        let required = limit + entry.coincidence_allowance();
-        if limit == 0 || entry.consecutive_exits() < required || has_too_few_senders {
+        let has_too_few_senders = entry.sender_count() > 0 && entry.sender_count() < MIN_SENDERS;
+        if limit == 0
+            || entry.consecutive_exits() < limit + entry.coincidence_allowance()
+            || has_too_few_senders
+        {
             return None;
         }
         let duration = quarantine_us(self.limits, entry);
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -178,14 +178,16 @@
         }
         target.sequence = report.sequence.unwrap_or(target.sequence);
         target.started_ms = target.started_ms.or(report.started_ms);
-        let state = later_state(target.state, report.state);
+        let before = target.state;
         let slots = report.slots.or(target.slots);
-        if state == target.state && slots == target.slots {
+        let is_same = later_state(before, report.state) == before && slots == target.slots;
+        if is_same {
             return ReportEffect::Refreshed;
         }
         target.slots = slots;
-        target.state = state;
-        let (instance, started_ms) = (target.instance.clone(), target.started_ms);
+        target.state = later_state(before, report.state);
+        let (instance, started_ms, state) =
+            (target.instance.clone(), target.started_ms, target.state);
         if state != ReportedState::Ready {
             self.record_ended(&instance, started_ms, state);
         }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -327,8 +327,7 @@
             prop_assert_eq!(status(&daemons[0]), status(&daemons[1]));
             prop_assert_eq!(status(&daemons[1]), status(&daemons[2]));
             let updates = daemons[0].snapshot(now);
-            let change = daemons[1].merge(now, &updates);
-            prop_assert!(change.is_empty(), "a repeated update changes nothing");
+            prop_assert!(daemons[1].merge(now, &updates).is_empty(), "a repeated update changes nothing");
         }
     }
 }
--- a/crates/policy/tests/report.rs
+++ b/crates/policy/tests/report.rs
@@ -154,8 +154,7 @@
             let before = ready(&reports).map(str::to_owned);
             match kind {
                 0 | 1 => {
-                    let ready_report = report(instance, ReportedState::Ready, Some(sequence));
-                    let effect = reports.apply(ready_report);
+                    let effect = reports.apply(report(instance, ReportedState::Ready, Some(sequence)));
                     if effect == ReportEffect::Conflict {
                         // The conflicting incarnation answers at the address.
                         reports.resolve_conflict(Some(&format!("i-{instance}")));
--- a/crates/wire/tests/homes.rs
+++ b/crates/wire/tests/homes.rs
@@ -51,9 +51,8 @@
     let encoded_size = |homes| encode(&call_envelope(homes)).expect("call encodes").len();
     let key_and_empty_list_bytes = 3;
     let size_with_empty_list = encoded_size(Homes::from(Vec::new()));
-    let size_without_list = encoded_size(Homes::Anywhere);
     assert_eq!(
-        size_with_empty_list - size_without_list,
+        size_with_empty_list - encoded_size(Homes::Anywhere),
         key_and_empty_list_bytes
     );
 }
